--- a/crates/borageswitch_scheduler/tests/advice.rs
+++ b/crates/borageswitch_scheduler/tests/advice.rs
@@ -18,7 +18,7 @@
 };
 
 /// What one call may ask about at the most.
-const MOST_ASKED: usize = 100;
+const MAX_CANDIDATES: usize = 100;
 
 fn advised_queue() -> Queue {
     let advisor = AdvisorTimes {
@@ -40,13 +40,16 @@
 
 /// Lets the session go on for a second, with an advisor that permits these executors only. Gives
 /// where tasks were started, and with which tickets.
-fn go_on(session: &mut Session, allowed: &[&str]) -> Vec<(ExecutorName, Option<Arc<str>>)> {
+fn run_with_advisor(
+    session: &mut Session,
+    allowed: &[&str],
+) -> Vec<(ExecutorName, Option<Arc<str>>)> {
     let mut started = Vec::new();
     for _ in 0..20 {
-        for effect in session.pass(50) {
+        for effect in session.advance(50) {
             match effect {
                 Effect::RequestAdvice(step, candidates) => {
-                    assert!(candidates.len() <= MOST_ASKED);
+                    assert!(candidates.len() <= MAX_CANDIDATES);
                     let permitted = candidates.iter().filter(|e| allowed.contains(&e.as_str()));
                     let permitted = permitted.map(|e| (e.clone(), Arc::from(format!("for {e}"))));
                     let permitted = Some(permitted.collect());
@@ -68,7 +71,7 @@
     let mut session = session(&executors);
     session.submit("j", vec![step(2)]);
 
-    let started = go_on(&mut session, &["e01"]);
+    let started = run_with_advisor(&mut session, &["e01"]);
 
     let expected = (ExecutorName::from("e01"), Some(Arc::from("for e01")));
     assert_eq!(started, [expected.clone(), expected]);
@@ -83,7 +86,7 @@
     let mut session = session(&executors);
     session.submit("j", vec![Step { max_per_host: Some(1), ..step(2) }]);
 
-    let started = go_on(&mut session, &["e00", "e44"]);
+    let started = run_with_advisor(&mut session, &["e00", "e44"]);
 
     let at: BTreeMap<&str, usize> = started.iter().map(|(e, _)| (e.as_str(), 1)).collect();
     assert_eq!(at.len(), 2, "{started:?}");
@@ -98,7 +101,7 @@
     let gang = Step { gang: true, max_per_host: Some(1), ..step(2) };
     session.submit("j", vec![gang]);
 
-    let started = go_on(&mut session, &["e00", "e44"]);
+    let started = run_with_advisor(&mut session, &["e00", "e44"]);
 
     assert_eq!(started.len(), 2, "{started:?}");
 }
@@ -111,7 +114,7 @@
     let executors = names(2);
     let mut session = session(&executors);
     session.submit("j", vec![Step { size: cores(8), ..step(2) }]);
-    assert_eq!(go_on(&mut session, &["e00", "e01"]).len(), 2);
+    assert_eq!(run_with_advisor(&mut session, &["e00", "e01"]).len(), 2);
     for (index, executor) in executors.iter().enumerate() {
         session.report(executor, &[active(&key("j", index as u32))], &[], 0);
     }
@@ -119,7 +122,7 @@
     session.submit("l", vec![lasting(1)]);
     let mut effects = Vec::new();
     for _ in 0..5 {
-        effects.extend(session.pass(50));
+        effects.extend(session.advance(50));
     }
 
     assert_eq!(stops(&effects), 0, "{effects:?}");
--- a/crates/borageswitch_scheduler/tests/crashes.rs
+++ b/crates/borageswitch_scheduler/tests/crashes.rs
@@ -22,15 +22,15 @@
     lines.collect()
 }
 
-fn of_kind<'a>(lines: &'a [LogLine], kind: &str) -> Vec<&'a LogLine> {
+fn lines_of_kind<'a>(lines: &'a [LogLine], kind: &str) -> Vec<&'a LogLine> {
     lines.iter().filter(|line| line.kind == kind).collect()
 }
 
 fn listed(session: &mut Session, hosts: Vec<HostEntry>) -> Vec<LogLine> {
-    let mut told = lines(session, 2_000);
+    let mut logged = lines(session, 2_000);
     session.handle(Event::HostsListed(Some(hosts)));
-    told.extend(lines(session, 0));
-    told
+    logged.extend(lines(session, 0));
+    logged
 }
 
 fn down(host: HostEntry) -> HostEntry {
@@ -50,12 +50,12 @@
 fn a_crash_is_told_with_the_tasks_that_ran_there() {
     // An operator who finds host after host down has to see which task was on each of them.
     let mut session = busy_pair();
-    session.look_answered("e1", PollResponse::Lost, 0);
+    session.poll_answered("e1", PollResponse::Lost, 0);
 
-    let told = listed(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
+    let logged = listed(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
 
-    let crashes = of_kind(&told, "executor-crashed");
-    assert_eq!(crashes.len(), 1, "{told:?}");
+    let crashes = lines_of_kind(&logged, "executor-crashed");
+    assert_eq!(crashes.len(), 1, "{logged:?}");
     assert_eq!(&*crashes[0].subject, "e1");
     assert!(crashes[0].detail.contains("others=0 runs=8"), "{}", crashes[0].detail);
     assert!(crashes[0].detail.contains("j.0.0.0 run 1 age_ms"), "{}", crashes[0].detail);
@@ -65,10 +65,10 @@
 fn executors_that_go_together_are_told_as_such() {
     let mut session = busy_pair();
 
-    let told = listed(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
+    let logged = listed(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
 
-    let crashes = of_kind(&told, "executor-crashed");
-    assert_eq!(crashes.len(), 2, "{told:?}");
+    let crashes = lines_of_kind(&logged, "executor-crashed");
+    assert_eq!(crashes.len(), 2, "{logged:?}");
     assert!(crashes.iter().all(|line| line.detail.contains("others=1")), "{crashes:?}");
 }
 
@@ -83,20 +83,20 @@
     ];
     for end in ends {
         let mut session = busy_pair();
-        let told = listed(&mut session, vec![end, host("h2", "e2")]);
-        assert_eq!(of_kind(&told, "executor-ended").len(), 1, "{told:?}");
-        assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+        let logged = listed(&mut session, vec![end, host("h2", "e2")]);
+        assert_eq!(lines_of_kind(&logged, "executor-ended").len(), 1, "{logged:?}");
+        assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
     }
 
     let mut removed = busy_pair();
-    let told = listed(&mut removed, vec![host("h2", "e2")]);
-    assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+    let logged = listed(&mut removed, vec![host("h2", "e2")]);
+    assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 
     let mut drained = busy_pair();
     let leaving = Registration { draining: true, ..registration("e1") };
     drained.handle(Event::RegistrationChanged(RegistrationChange::Present(leaving)));
-    let told = listed(&mut drained, vec![down(entry), host("h2", "e2")]);
-    assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+    let logged = listed(&mut drained, vec![down(entry), host("h2", "e2")]);
+    assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let mut session = busy_pair();
     session.handle(Event::RegistrationChanged(RegistrationChange::Unregistered("e1".into())));
 
-    let told: Vec<LogLine> = (0..200).flat_map(|_| lines(&mut session, 50)).collect();
+    let logged: Vec<LogLine> = (0..200).flat_map(|_| lines(&mut session, 50)).collect();
 
-    assert_eq!(of_kind(&told, "executor-crashed").len(), 1, "{told:?}");
+    assert_eq!(lines_of_kind(&logged, "executor-crashed").len(), 1, "{logged:?}");
 }
--- a/crates/borageswitch_scheduler/tests/failed_starts.rs
+++ b/crates/borageswitch_scheduler/tests/failed_starts.rs
@@ -11,18 +11,18 @@
 use support::session::{Session, step};
 
 /// For how long starts are answered, in milliseconds.
-const WHILE: u64 = 10_000;
+const TEST_DURATION: u64 = 10_000;
 /// How many starts of one task that is for ten seconds at the most: two at once, five with growing
 /// pauses, and one a second.
-const MOST: usize = 2 + 5 + 10;
+const MAX_STARTS: usize = 2 + 5 + 10;
 
 /// How often the tasks of a job are started while each start is answered like this.
-fn starts_answered(response: StartResponse, steps: Vec<Step>) -> usize {
+fn count_starts(response: StartResponse, steps: Vec<Step>) -> usize {
     let mut session = Session::new(&["e1", "e2", "e3"]);
     session.submit("j", steps);
     let mut starts = 0;
-    for _ in 0..WHILE / 20 {
-        for effect in session.pass(20) {
+    for _ in 0..TEST_DURATION / 20 {
+        for effect in session.advance(20) {
             match effect {
                 Effect::Append { append, .. } => session.handle(Event::Appended { append }),
                 Effect::Start(to, order) => {
@@ -64,9 +64,9 @@
         StartResponse::Lost,
     ];
     for refusal in refusals {
-        let starts = starts_answered(refusal, vec![step(1)]);
+        let starts = count_starts(refusal, vec![step(1)]);
 
-        assert!((2..=MOST).contains(&starts), "{refusal}: {starts} starts");
+        assert!((2..=MAX_STARTS).contains(&starts), "{refusal}: {starts} starts");
     }
 }
 
@@ -74,7 +74,7 @@
 fn a_gang_that_is_refused_is_repeated_with_pauses() {
     let gang = Step { gang: true, ..step(3) };
 
-    let starts = starts_answered(StartResponse::Outdated, vec![gang]);
+    let starts = count_starts(StartResponse::Outdated, vec![gang]);
 
-    assert!((6..=3 * MOST).contains(&starts), "{starts} starts");
+    assert!((6..=3 * MAX_STARTS).contains(&starts), "{starts} starts");
 }
--- a/crates/borageswitch_scheduler/tests/gangs.rs
+++ b/crates/borageswitch_scheduler/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Tasks that work only together, among others.
+//! Gangs: tasks that make progress only while all of them run.
 
 mod support;
 
@@ -20,37 +20,37 @@
     session::{Session, active, done, host, step, stops},
 };
 
-/// A gang whose members take most of a host each.
+/// A gang whose members each need most of a host.
 fn gang(count: u32) -> Step {
     Step { gang: true, size: cores(5), label: Some("a".into()), ..step(count) }
 }
 
-/// Small tasks that take each other's places on executors that are always full.
-struct Rush {
+/// A pool of executors that are always full of small tasks. When one ends, another one waits.
+struct BusyPool {
     session: Session,
     running: BTreeMap<String, Vec<TaskKey>>,
     ends: BTreeMap<String, u64>,
     jobs: u32,
 }
 
-impl Rush {
+impl BusyPool {
     fn new(executors: &[&str]) -> Self {
         let running = executors.iter().map(|name| ((*name).to_owned(), Vec::new())).collect();
-        let mut rush =
+        let mut busy =
             Self { session: Session::new(executors), running, ends: BTreeMap::new(), jobs: 0 };
         for _ in 0..executors.len() * 8 {
-            rush.hand_in();
+            busy.submit_small_job();
         }
-        rush.start();
-        rush
+        busy.start();
+        busy
     }
 
-    fn hand_in(&mut self) {
+    fn submit_small_job(&mut self) {
         self.jobs += 1;
         self.session.submit(&format!("small-{}", self.jobs), vec![step(1)]);
     }
 
-    /// Starts what is ordered; gives how many members of a gang are among that.
+    /// Starts the ordered runs and returns how many of them are gang members.
     fn start(&mut self) -> usize {
         let mut members = 0;
         for (executor, task) in self.session.store_and_start() {
@@ -62,8 +62,8 @@
         members
     }
 
-    /// The oldest small task of each executor ends, and as many jobs come in.
-    fn turn_over(&mut self) {
+    /// Ends the oldest small task of each executor and submits as many new jobs.
+    fn replace_oldest_tasks(&mut self) {
         for (executor, running) in &mut self.running {
             if running.is_empty() {
                 continue;
@@ -75,62 +75,61 @@
             self.session.report(executor, &left, &[ended], *number - 1);
         }
         for _ in 0..self.running.len() {
-            self.hand_in();
+            self.submit_small_job();
         }
     }
 }
 
 #[test]
-fn a_gang_starts_although_small_tasks_take_each_bit_of_room() {
-    // Two hosts are full of small tasks, and for each that ends another one waits. A gang needs the
-    // larger part of both at once. Nobody keeps room for it, and its caller sees a job that was
-    // accepted and never starts.
-    let mut rush = Rush::new(&["e1", "e2"]);
-    rush.session.submit("gang", vec![gang(2)]);
-    rush.start();
+fn a_gang_starts_although_small_tasks_take_all_free_capacity() {
+    // Two hosts are full of small tasks, and for each that ends another one waits. A gang needs
+    // most of both hosts at once. Without a reservation it would never start.
+    let mut busy = BusyPool::new(&["e1", "e2"]);
+    busy.session.submit("gang", vec![gang(2)]);
+    busy.start();
 
     let mut members = 0;
     for _ in 0..30 {
-        rush.turn_over();
-        members += rush.start();
+        busy.replace_oldest_tasks();
+        members += busy.start();
     }
 
     assert_eq!(members, 2);
 }
 
 #[test]
-fn two_gangs_do_not_each_hold_half_of_what_they_need() {
-    // Two gangs come together, and each needs both hosts. If each were given one, neither could
-    // start, nor could the small tasks that the hosts are kept from.
-    let mut rush = Rush::new(&["e1", "e2"]);
-    rush.session.submit("gang-1", vec![gang(2)]);
-    rush.session.submit("gang-2", vec![gang(2)]);
+fn two_gangs_do_not_each_reserve_half_of_what_they_need() {
+    // Two gangs arrive together, and each needs both hosts. With one host reserved for each gang,
+    // neither could start, nor could the small tasks that are kept off the hosts.
+    let mut busy = BusyPool::new(&["e1", "e2"]);
+    busy.session.submit("gang-1", vec![gang(2)]);
+    busy.session.submit("gang-2", vec![gang(2)]);
 
     let mut members = 0;
     for _ in 0..60 {
-        rush.turn_over();
-        members += rush.start();
+        busy.replace_oldest_tasks();
+        members += busy.start();
     }
 
     assert!(members >= 2, "{members} members were started");
 }
 
 #[test]
-fn a_gang_gets_as_many_hosts_as_it_has_members_that_share_none() {
-    // A pool has four hosts with a label and nothing else to do. Five members of a gang need one
-    // host each, though the cores of four would be enough for all five. Hosts that are off are
-    // fetched by cores alone, so none comes, and the job waits beside idle hosts for ever.
+fn a_gang_gets_one_host_for_each_member_that_needs_its_own() {
+    // A pool has four idle hosts with a label. The five members of a gang need one host each,
+    // although the cores of four hosts would suffice for all five. If standby hosts were requested
+    // by cores alone, none would come, and the job would wait forever beside idle hosts.
     let up = ["e1", "e2", "e3", "e4"];
-    let mut session = Session::with_config(&up, Ledger::default(), with_hosts_off());
+    let mut session = Session::with_config(&up, Ledger::default(), config_with_standby_pool());
     session.submit("gang", vec![gang(5)]);
 
     let mut moved = Vec::new();
     for _ in 0..30 {
-        for effect in session.pass(100) {
+        for effect in session.advance(100) {
             match effect {
                 Effect::ListHosts => {
                     let mut hosts: Vec<_> = up.iter().map(|e| host(&format!("h-{e}"), e)).collect();
-                    hosts.push(host_off("h-off"));
+                    hosts.push(standby_host("h-off"));
                     session.handle(Event::HostsListed(Some(hosts)));
                 }
                 Effect::Append { append, .. } => session.handle(Event::Appended { append }),
@@ -144,14 +143,14 @@
 }
 
 #[test]
-fn a_gang_that_lacks_a_member_is_stopped_although_its_pool_is_full() {
+fn an_incomplete_gang_is_stopped_although_its_pool_is_full() {
     // One member of a gang fails to start while small tasks fill the pool and more of them wait.
-    // Left running, the other member holds its room in vain until it gives up by itself.
+    // If the other member were left running, it would waste its capacity until it times out.
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("gang", vec![gang(2)]);
     let started = session.store_and_start();
     assert_eq!(started.len(), 2);
-    // Short ones are due before the gang, so they come first.
+    // Short tasks have earlier deadlines than the gang, so they start first.
     let short = Step { estimate: Duration::from_millis(10), ..step(1) };
     for job in 0..40 {
         session.submit(&format!("small-{job}"), vec![short.clone()]);
@@ -166,7 +165,7 @@
     assert!(stops(&effects) >= 1, "{effects:?}");
 }
 
-fn with_hosts_off() -> Arc<Config> {
+fn config_with_standby_pool() -> Arc<Config> {
     let mut config = (*config(true)).clone();
     let off = PoolName::from("off");
     let pool = Pool { name: off.clone(), enforces_capacity: true, standby: true };
@@ -174,6 +173,6 @@
     Arc::new(config)
 }
 
-fn host_off(name: &str) -> HostEntry {
+fn standby_host(name: &str) -> HostEntry {
     HostEntry { pool: PoolName::from("off"), executor: None, ..host(name, "none") }
 }
--- a/crates/borageswitch_scheduler/tests/host_orders.rs
+++ b/crates/borageswitch_scheduler/tests/host_orders.rs
@@ -13,10 +13,10 @@
 use support::session::{Session, active, host, key, registration, step};
 
 /// Lists one host with this executor whenever the hosts are asked for, and stores every append.
-fn pass(session: &mut Session, executor: &str) -> Vec<Effect> {
+fn advance(session: &mut Session, executor: &str) -> Vec<Effect> {
     let mut all = Vec::new();
     for _ in 0..4 {
-        for effect in session.pass(50) {
+        for effect in session.advance(50) {
             match &effect {
                 Effect::ListHosts => {
                     session.handle(Event::HostsListed(Some(vec![host("h", executor)])));
@@ -50,23 +50,23 @@
         max_down: 1,
     };
     session.handle(Event::WaveRequested(request));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", "old")])));
-    let ordered = pass(&mut session, "old");
+    let ordered = advance(&mut session, "old");
     assert!(ordered.iter().any(|effect| matches!(effect, Effect::OrderHost(..))), "{ordered:?}");
     respond(&mut session, HostOrderResponse::Lost);
     session.handle(Event::RegistrationChanged(RegistrationChange::Unregistered("old".into())));
     session.handle(Event::RegistrationChanged(RegistrationChange::Present(registration("new"))));
-    session.pass(50);
+    session.advance(50);
     session.report("new", &[], &[], 0);
     session.submit("j", vec![step(1)]);
     for _ in 0..5 {
-        pass(&mut session, "new");
+        advance(&mut session, "new");
     }
     session.report("new", &[active(&key("j", 0))], &[], 0);
 
     respond(&mut session, HostOrderResponse::Done);
-    let effects = [pass(&mut session, "new"), pass(&mut session, "new")].concat();
+    let effects = [advance(&mut session, "new"), advance(&mut session, "new")].concat();
 
     let runs: Vec<_> = session.scheduler.executors().flat_map(|e| e.runs.keys()).collect();
     assert_eq!(runs, [&key("j", 0)], "{effects:?}");
@@ -74,7 +74,7 @@
 
 /// Asks for the maintenance of the only host, and gives how many orders for it leave in that time
 /// while each gets this answer.
-fn orders_answered(with: HostOrderResponse, millis: u64) -> usize {
+fn count_orders(with: HostOrderResponse, millis: u64) -> usize {
     let mut session = Session::new(&["e"]);
     let request = WaveRequest {
         wave: 1,
@@ -85,7 +85,7 @@
     session.handle(Event::WaveRequested(request));
     let mut orders = 0;
     for _ in 0..millis / 200 {
-        let effects = pass(&mut session, "e");
+        let effects = advance(&mut session, "e");
         let ordered =
             effects.iter().filter(|effect| matches!(effect, Effect::OrderHost(..))).count();
         orders += ordered;
@@ -101,7 +101,7 @@
     // Guards against orders for hosts that use up what the platform takes from all daemons, for as
     // long as one host is stuck.
     for refusal in [HostOrderResponse::Lost, HostOrderResponse::TooMany, HostOrderResponse::Busy] {
-        let orders = orders_answered(refusal, 60_000);
+        let orders = count_orders(refusal, 60_000);
 
         // Six pauses until the longest, then one every four seconds and the time of a pass.
         assert!((10..=6 + 15).contains(&orders), "{refusal}: {orders} orders in a minute");
--- a/crates/borageswitch_scheduler/tests/hosts.rs
+++ b/crates/borageswitch_scheduler/tests/hosts.rs
@@ -48,7 +48,7 @@
     /// Lets so many milliseconds pass.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
-            for effect in self.session.pass(50) {
+            for effect in self.session.advance(50) {
                 self.carry_out(effect);
             }
         }
--- a/crates/borageswitch_scheduler/tests/quotas.rs
+++ b/crates/borageswitch_scheduler/tests/quotas.rs
@@ -87,7 +87,7 @@
     assert_eq!(start_all(&mut session), 4);
 
     session.handle(Event::Configured(config_with_quota(2, 2)));
-    let effects = session.pass(60);
+    let effects = session.advance(60);
     let running: Vec<_> = (2..4).map(|index| active(&key("j", index))).collect();
     let ended: Vec<_> = (0..2).map(|index| done(u64::from(index) + 1, &key("j", index))).collect();
     session.report("e1", &running, &ended, 0);
@@ -122,7 +122,7 @@
     session.submit_as(CALLER, "old", vec![step(4)]);
     assert_eq!(start_all(&mut session), 4);
     session.handle(Event::Cancelled(JobName::from("old")));
-    let stored = records(&session.pass(60));
+    let stored = records(&session.advance(60));
     let mut ledger = Ledger::default();
     stored.iter().for_each(|record| ledger.apply(record));
 
@@ -165,8 +165,8 @@
     let lines = session.scheduler.explain(session.moment(), &Subject::Job(JobName::from("j")));
     let dump = session.scheduler.dump(session.moment());
 
-    let told = "its caller nosipho is at its quota: uses 2000 thousandths of a core";
-    assert!(lines.iter().any(|line| line.starts_with(told)), "{lines:?}");
+    let logged = "its caller nosipho is at its quota: uses 2000 thousandths of a core";
+    assert!(lines.iter().any(|line| line.starts_with(logged)), "{lines:?}");
     assert_eq!(dump.callers[CALLER].used, cores(2));
 }
 
--- a/crates/borageswitch_scheduler/tests/randomised.rs
+++ b/crates/borageswitch_scheduler/tests/randomised.rs
@@ -1,5 +1,5 @@
-//! Long runs of the scheduler under random faults. Each prints the seed that broke a promise;
-//! `BORAGESWITCH_SEED=N` runs that seed alone, `BORAGESWITCH_SEEDS=N` runs so many.
+//! Simulations of the scheduler under random faults. A failing test prints its seed.
+//! `BORAGESWITCH_SEED=N` runs only that seed, `BORAGESWITCH_SEEDS=N` the first N seeds.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use borageswitch_scheduler::{job::Step, ledger::record::Outcome};
 use support::{
     fixtures::cores,
-    world::{Faults, World},
+    simulation::{Faults, Simulation},
 };
 
-/// How many seeds each run in CI takes.
+/// The default number of seeds, used in CI.
 const SEEDS: u64 = 40;
 
 fn seeds() -> Vec<u64> {
@@ -22,20 +22,20 @@
     }
 }
 
-fn random_job(world: &mut World) -> Vec<Step> {
-    let steps = world.rng.u16(1..4);
+fn random_steps(simulation: &mut Simulation) -> Vec<Step> {
+    let steps = simulation.rng.u16(1..4);
     (0..steps)
         .map(|number| Step {
-            count: world.rng.u32(1..6),
-            size: cores(world.rng.u64(1..5)),
-            estimate: Duration::from_millis(world.rng.u64(100..1_500)),
+            count: simulation.rng.u32(1..6),
+            size: cores(simulation.rng.u64(1..5)),
+            estimate: Duration::from_millis(simulation.rng.u64(100..1_500)),
             after: if number == 0 { vec![] } else { vec![number - 1] },
             ..Step::default()
         })
         .collect()
 }
 
-fn lasting_job(count: u32) -> Vec<Step> {
+fn lasting_steps(count: u32) -> Vec<Step> {
     vec![Step {
         count,
         size: cores(2),
@@ -46,173 +46,184 @@
     }]
 }
 
-/// Half a minute of jobs under faults, then calm until everything must have ended.
-fn play(seed: u64, guards: bool, faults: Faults) -> World {
-    let mut world = World::new(seed, 6, guards, faults);
-    world.submit(lasting_job(3));
-    play_in(world)
+/// Simulates half a minute of jobs under faults, then enough time without faults for all jobs to
+/// end.
+fn simulate(seed: u64, enforces_capacity: bool, faults: Faults) -> Simulation {
+    let mut simulation = Simulation::new(seed, 6, enforces_capacity, faults);
+    simulation.submit(lasting_steps(3));
+    run_simulation(simulation)
 }
 
-/// As [`play`], with two callers: one with room for all it sends, one whose quota binds, and is
-/// lowered and raised meanwhile.
-fn play_with_quotas(seed: u64, faults: Faults) -> World {
-    let mut world = World::new(seed, 6, true, faults);
-    world.set_quota("ample", cores(60));
-    world.submit(lasting_job(3));
-    world.set_quota("tight", cores(8));
-    play_in(world)
+/// As [`simulate`], with two callers: one whose quota is never reached, and one whose quota limits
+/// its tasks and changes during the simulation.
+fn simulate_with_quotas(seed: u64, faults: Faults) -> Simulation {
+    let mut simulation = Simulation::new(seed, 6, true, faults);
+    simulation.set_quota("ample", cores(60));
+    simulation.submit(lasting_steps(3));
+    simulation.set_quota("tight", cores(8));
+    run_simulation(simulation)
 }
 
-fn play_in(mut world: World) -> World {
+fn run_simulation(mut simulation: Simulation) -> Simulation {
     for _ in 0..60 {
-        let steps = random_job(&mut world);
-        match world.rng.u32(..6) {
-            0 => world.submit_timed(steps, 3),
-            _ => world.submit(steps),
+        let steps = random_steps(&mut simulation);
+        match simulation.rng.u32(..6) {
+            0 => simulation.submit_timed(steps, 3),
+            _ => simulation.submit(steps),
         };
-        if world.rng.u32(..10) == 0 && world.has_callers() {
-            let quota = world.rng.u64(3..12);
-            world.set_quota("tight", cores(quota));
+        if simulation.rng.u32(..10) == 0 && simulation.has_callers() {
+            let quota = simulation.rng.u64(3..12);
+            simulation.set_quota("tight", cores(quota));
         }
-        world.run(500);
+        simulation.run(500);
     }
-    world.calm_down();
-    if world.has_callers() {
-        // What has waited for its quota has to come to its end as well.
-        world.set_quota("tight", cores(40));
+    simulation.clear_faults();
+    if simulation.has_callers() {
+        // Jobs that wait for the quota have to end as well.
+        simulation.set_quota("tight", cores(40));
     }
-    world.run(40_000);
-    world
+    simulation.run(40_000);
+    simulation
 }
 
-fn must_hold(seed: u64, world: &World) {
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-    let open = world.open_jobs();
+fn assert_invariants(seed: u64, simulation: &Simulation) {
+    assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
+    let open = simulation.open_jobs();
     assert!(open.is_empty(), "seed {seed}: jobs that never ended: {open:?}");
-    let leftovers = world.leftovers();
-    assert!(leftovers.is_empty(), "seed {seed}: runs of jobs that are over: {leftovers:?}");
-    let (wanted, running) = world.lasting();
+    let orphan_runs = simulation.orphan_runs();
+    assert!(orphan_runs.is_empty(), "seed {seed}: runs of jobs that are over: {orphan_runs:?}");
+    let (wanted, running) = simulation.lasting();
     assert_eq!(running, wanted, "seed {seed}: lasting tasks that do not run");
 }
 
 #[test]
-fn calm_runs_complete_everything() {
+fn without_faults_all_jobs_end() {
     for seed in seeds() {
-        let world = play(seed, true, Faults::default());
+        let simulation = simulate(seed, true, Faults::default());
 
-        must_hold(seed, &world);
-        let failed = world.shown.values().filter(|o| **o == Outcome::Failed).count();
+        assert_invariants(seed, &simulation);
+        let failed = simulation.reported.values().filter(|o| **o == Outcome::Failed).count();
         assert!(failed < 15, "seed {seed}: {failed} jobs failed");
     }
 }
 
 #[test]
-fn lost_and_late_orders_double_nothing() {
-    // Answers are lost, orders are lost, and some are carried out up to twelve seconds later. A
-    // task started elsewhere too early runs twice, and its caller pays twice.
-    let faults = Faults { lost_answer: 60, lost_order: 30, late_order: 40, ..Faults::default() };
+fn lost_and_delayed_orders_run_no_task_twice() {
+    // Responses and orders are lost, and some orders arrive up to twelve seconds late. A task that
+    // is restarted elsewhere too early runs twice, and its caller pays twice.
+    let faults =
+        Faults { lost_response: 60, lost_order: 30, delayed_order: 40, ..Faults::default() };
     for seed in seeds() {
-        let world = play(seed, true, faults);
+        let simulation = simulate(seed, true, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
-fn a_change_of_leader_doubles_and_loses_nothing() {
-    // The leader dies again and again, between an assignment and its start, or between an end and
-    // its acknowledgement. Its successor knows only what was stored.
-    let faults = Faults { leader_dies: 4, late_order: 30, cancel: 1, ..Faults::default() };
+fn a_change_of_leader_neither_loses_nor_repeats_tasks() {
+    // Leaders crash repeatedly, for instance between an assignment and its start, or between the
+    // end of a run and its acknowledgement. The next leader knows only the stored records.
+    let faults = Faults { leader_crash: 4, delayed_order: 30, cancel: 1, ..Faults::default() };
     for seed in seeds() {
-        let world = play(seed, true, faults);
+        let simulation = simulate(seed, true, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
-fn executors_that_die_or_are_cut_off_double_nothing() {
-    // A host that is cut off works on until its lease ends; one that dies never answers again, and
-    // its caller waits until the tasks run elsewhere.
-    let faults = Faults { executor_dies: 1, executor_cut: 3, cancel: 1, ..Faults::default() };
+fn crashed_and_partitioned_executors_run_no_task_twice() {
+    // A partitioned executor continues its runs until its lease expires. A crashed one never
+    // responds again, and its tasks have to be restarted elsewhere.
+    let faults =
+        Faults { executor_crash: 1, executor_partition: 3, cancel: 1, ..Faults::default() };
     for seed in seeds() {
-        let world = play(seed, true, faults);
+        let simulation = simulate(seed, true, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
-fn the_store_away_doubles_and_loses_nothing() {
-    let faults = Faults { store_away: 2, leader_dies: 1, executor_cut: 1, ..Faults::default() };
+fn a_store_outage_neither_loses_nor_repeats_tasks() {
+    let faults =
+        Faults { store_outage: 2, leader_crash: 1, executor_partition: 1, ..Faults::default() };
     for seed in seeds() {
-        let world = play(seed, true, faults);
+        let simulation = simulate(seed, true, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
-fn executors_that_guard_nothing_are_never_overfilled() {
-    // These executors start whatever they are told to, also what does not fit. Overfilled, all
-    // their tasks fail or crawl. What is being stopped, or may yet arrive, takes room as well.
+fn executors_without_capacity_checks_are_never_overcommitted() {
+    // These executors start every run that they are ordered to, and overcommitted ones fail or slow
+    // down all their tasks. Runs that are being stopped, and starts that may yet arrive, use
+    // capacity as well.
     let faults = Faults {
-        lost_answer: 40,
-        late_order: 30,
-        leader_dies: 2,
-        executor_cut: 2,
+        lost_response: 40,
+        delayed_order: 30,
+        leader_crash: 2,
+        executor_partition: 2,
         cancel: 4,
         ..Faults::default()
     };
     for seed in seeds() {
-        let world = play(seed, false, faults);
+        let simulation = simulate(seed, false, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
 fn all_faults_at_once() {
     let faults = Faults {
-        lost_answer: 30,
+        lost_response: 30,
         lost_order: 20,
-        late_order: 20,
-        leader_dies: 1,
-        executor_dies: 1,
-        executor_cut: 1,
-        store_away: 1,
+        delayed_order: 20,
+        leader_crash: 1,
+        executor_crash: 1,
+        executor_partition: 1,
+        store_outage: 1,
         cancel: 2,
         ..Faults::default()
     };
     for seed in seeds() {
-        let world = play(seed, true, faults);
+        let simulation = simulate(seed, true, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
 
 #[test]
-fn a_quota_is_kept_whatever_fails() {
-    // Orders get no answer or arrive late, the leader dies between an order and its answer, jobs are
-    // cancelled while their tasks run, and the quota changes. A caller whose tasks are counted too
-    // low takes hosts for which others have been promised their share.
+fn quotas_hold_under_all_faults() {
+    // Orders get no response or arrive late, the leader crashes between an order and its response,
+    // jobs are cancelled while their tasks run, and the quota changes. If the runs of a caller are
+    // undercounted, it takes capacity that belongs to the shares of others.
     let faults = [
         Faults::default(),
-        Faults { lost_answer: 60, lost_order: 30, late_order: 40, ..Faults::default() },
-        Faults { leader_dies: 4, lost_order: 200, cancel: 12, ..Faults::default() },
+        Faults { lost_response: 60, lost_order: 30, delayed_order: 40, ..Faults::default() },
+        Faults { leader_crash: 4, lost_order: 200, cancel: 12, ..Faults::default() },
         Faults {
-            leader_dies: 2,
-            executor_dies: 1,
-            executor_cut: 3,
+            leader_crash: 2,
+            executor_crash: 1,
+            executor_partition: 3,
             cancel: 4,
             ..Faults::default()
         },
-        Faults { store_away: 2, leader_dies: 1, cancel: 4, lost_answer: 30, ..Faults::default() },
+        Faults {
+            store_outage: 2,
+            leader_crash: 1,
+            cancel: 4,
+            lost_response: 30,
+            ..Faults::default()
+        },
     ];
     for seed in seeds() {
         let faults = faults[seed as usize % faults.len()];
-        let world = play_with_quotas(seed, faults);
+        let simulation = simulate_with_quotas(seed, faults);
 
-        must_hold(seed, &world);
+        assert_invariants(seed, &simulation);
     }
 }
--- a/crates/borageswitch_scheduler/tests/sessions.rs
+++ b/crates/borageswitch_scheduler/tests/sessions.rs
@@ -29,10 +29,10 @@
     assert_eq!(session.store_and_start().len(), 1);
     let end = done(1, &key("j", 0));
     session.report("e1", &[], std::slice::from_ref(&end), 0);
-    session.pass(1_500);
+    session.advance(1_500);
     session.report("e1", &[], &[end], 0);
 
-    let before = session.pass(1_500);
+    let before = session.advance(1_500);
 
     assert!(acknowledgements(&before).iter().all(|ack| *ack == 0), "{before:?}");
 }
@@ -52,7 +52,7 @@
 
     let mut forgotten = 0;
     for _ in 0..10 {
-        for effect in session.pass(50) {
+        for effect in session.advance(50) {
             if let Effect::Append { append, forget, .. } = effect {
                 assert!(forget.len() * 2 + 3 <= 32, "{} jobs in one append", forget.len());
                 forgotten += forget.len();
@@ -77,7 +77,7 @@
     session.now += 500;
     session.report(due.as_str(), &[active(&started[1].1)], &[], 0);
     session.report(silent.as_str(), &[active(&started[0].1)], &[], 0);
-    session.look_answered(silent.as_str(), PollResponse::Lost, 0);
+    session.poll_answered(silent.as_str(), PollResponse::Lost, 0);
     let wave = WaveRequest {
         wave: 1,
         hosts: vec![HostName::from("h")],
@@ -85,10 +85,10 @@
         max_down: 1,
     };
     session.handle(Event::WaveRequested(wave));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", due.as_str())])));
 
-    let effects = session.pass(60);
+    let effects = session.advance(60);
 
     assert_eq!(stops(&effects), 0, "{effects:?}");
 }
@@ -106,10 +106,10 @@
     session.now += 500;
     session.report("e1", &[active(&started[0].1), active(&started[1].1)], &[], 0);
     session.handle(wave_over(&["h"], 1));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", "e1")])));
 
-    let effects: Vec<Effect> = (0..10).flat_map(|_| session.pass(60)).collect();
+    let effects: Vec<Effect> = (0..10).flat_map(|_| session.advance(60)).collect();
 
     assert_eq!(stops(&effects), 0, "{effects:?}");
 }
@@ -126,12 +126,12 @@
         max_down: 1,
     };
     session.handle(Event::WaveRequested(wave));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![off])));
 
     let mut orders = Vec::new();
     for _ in 0..3 {
-        for effect in session.pass(60) {
+        for effect in session.advance(60) {
             match effect {
                 Effect::Append { append, .. } => session.handle(Event::Appended { append }),
                 Effect::OrderHost(host, order) => orders.push((host, order)),
@@ -158,9 +158,9 @@
         max_down: 1,
     };
     session.handle(Event::WaveRequested(wave));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", "e1")])));
-    session.pass(60);
+    session.advance(60);
 
     session.submit("j", vec![step(1)]);
 
@@ -186,7 +186,7 @@
     // twice.
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("j", vec![step(1)]);
-    for effect in session.pass(50) {
+    for effect in session.advance(50) {
         if let Effect::Append { append, .. } = effect {
             session.handle(Event::Appended { append });
         }
@@ -208,7 +208,7 @@
     session.now += 10;
     session.report(executor.as_str(), &[], &[], 0);
 
-    let effects = session.pass(60);
+    let effects = session.advance(60);
 
     assert_eq!(stops(&effects), 1, "{effects:?}");
     assert!(session.store_and_start().is_empty());
@@ -232,7 +232,7 @@
 fn ordered_hosts(session: &mut Session, millis: u64) -> Vec<HostName> {
     let mut orders = Vec::new();
     for _ in 0..millis / 50 {
-        for effect in session.pass(50) {
+        for effect in session.advance(50) {
             match effect {
                 Effect::Append { append, .. } => session.handle(Event::Appended { append }),
                 Effect::OrderHost(host, _) => orders.push(host),
@@ -257,7 +257,7 @@
 fn ordered_at_once(ledger: Ledger) -> Vec<HostName> {
     let mut session = Session::with_ledger(&["e1"], ledger);
     session.handle(wave_over(&["h"], 1));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", "e1")])));
     ordered_hosts(&mut session, 500)
 }
@@ -297,7 +297,7 @@
     let started = session.store_and_start();
     let (first, second) = (started[0].0.clone(), started[1].0.clone());
     session.handle(wave_over(&["h2"], 1));
-    session.pass(60);
+    session.advance(60);
     let hosts = vec![host("h1", first.as_str()), host("h2", second.as_str())];
     session.handle(Event::HostsListed(Some(hosts)));
     let mut stops_within = |millis: u64| {
@@ -305,7 +305,7 @@
         for _ in 0..millis / 500 {
             session.report(first.as_str(), &[active(&started[0].1)], &[], 0);
             session.report(second.as_str(), &[active(&started[1].1)], &[], 0);
-            found += stops(&session.pass(500));
+            found += stops(&session.advance(500));
         }
         found
     };
@@ -336,7 +336,7 @@
     ledger.apply(&Record::HostOrdered { host: HostName::from("h1") });
     let mut session = Session::with_ledger(&["e1", "e2"], ledger);
     session.handle(wave_over(&["h1", "h2"], 1));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h1", "e1"), host("h2", "e2")])));
 
     let orders = ordered_hosts(&mut session, 2_000);
@@ -350,7 +350,7 @@
     // every look would cost a write and a call each, several times a second.
     let mut session = Session::new(&["e1"]);
     session.handle(wave_over(&["h"], 1));
-    session.pass(60);
+    session.advance(60);
     session.handle(Event::HostsListed(Some(vec![host("h", "e1")])));
     let mut orders = 0;
     for _ in 0..40 {
@@ -363,7 +363,7 @@
     assert!((1..=5).contains(&orders), "{orders} orders in two seconds");
 }
 
-fn looks(effects: &[Effect]) -> usize {
+fn polls(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Poll(..))).count()
 }
 
@@ -376,12 +376,12 @@
     session.submit("j", vec![step(2)]);
     assert_eq!(session.store_and_start().len(), 2);
     session.report("e1", &[active(&key("j", 1))], &[done(1, &key("j", 0))], 0);
-    let first = session.pass(50);
+    let first = session.advance(50);
     assert!(first.iter().any(|effect| matches!(effect, Effect::Append { .. })), "{first:?}");
 
-    let effects: Vec<Effect> = (0..5).flat_map(|_| session.pass(50)).collect();
+    let effects: Vec<Effect> = (0..5).flat_map(|_| session.advance(50)).collect();
 
-    assert_eq!(looks(&effects), 1, "{effects:?}");
+    assert_eq!(polls(&effects), 1, "{effects:?}");
 }
 
 #[test]
@@ -390,7 +390,7 @@
     // watches the queue must not be told that nothing waits in it: the job runs nowhere.
     let mut session = Session::new(&["e1"]);
     session.submit("j", vec![step(1)]);
-    let records: Vec<Record> = session.pass(50).into_iter().flat_map(records_of).collect();
+    let records: Vec<Record> = session.advance(50).into_iter().flat_map(records_of).collect();
     let mut ledger = session.scheduler.ledger().clone();
     records.iter().for_each(|record| ledger.apply(record));
     let assigned = |record: &Record| matches!(record, Record::Assigned { .. });
--- a/crates/borageswitch_scheduler/tests/support/executor.rs
+++ b/crates/borageswitch_scheduler/tests/support/executor.rs
@@ -1,4 +1,4 @@
-//! An executor that keeps to the platform's promises.
+//! A simulated executor that keeps the guarantees of the platform.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,12 +16,12 @@
     pub run: u32,
     pub size: Size,
     pub lasting: bool,
-    pub since: u64,
+    pub begun_at: u64,
     pub ends: u64,
     pub fails: bool,
 }
 
-/// How a task behaves, as the world knows it.
+/// How a task behaves when it runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
     pub size: Size,
@@ -30,53 +30,57 @@
     pub fails: bool,
 }
 
-/// A simulated executor. Times are milliseconds of the world unless said otherwise.
+/// A simulated executor. Times are in milliseconds of the simulation unless stated otherwise.
 #[derive(Clone, Debug)]
 pub struct SimExecutor {
     pub capacity: Size,
-    pub guards: bool,
-    /// When it started.
-    pub born: u64,
-    /// Its clock showed so much at that moment, and is 2 % slow if `slow`.
-    pub clock_ahead: u64,
-    pub slow: bool,
+    pub enforces_capacity: bool,
+    pub started_at: u64,
+    /// What its clock showed at the start. The clock runs 2 % slow if `slow_clock` is set.
+    pub clock_offset: u64,
+    pub slow_clock: bool,
     pub active: BTreeMap<TaskKey, SimRun>,
     pub ended: Vec<EndedRun>,
-    /// For each task the highest run that was stopped or has ended here.
-    pub barred: BTreeMap<TaskKey, u32>,
+    /// The highest run of each task that was stopped or has ended on this executor.
+    pub finished_runs: BTreeMap<TaskKey, u32>,
     pub token: u64,
     pub lease_ms: u64,
-    pub numbers: u64,
+    pub last_end_number: u64,
     pub acknowledged: u64,
     pub done: Vec<TaskKey>,
 }
 
 impl SimExecutor {
-    pub fn new(capacity: Size, guards: bool, clock_ahead: u64, slow: bool) -> Self {
+    pub fn new(
+        capacity: Size,
+        enforces_capacity: bool,
+        clock_offset: u64,
+        slow_clock: bool,
+    ) -> Self {
         Self {
             capacity,
-            guards,
-            born: 0,
-            clock_ahead,
-            slow,
+            enforces_capacity,
+            started_at: 0,
+            clock_offset,
+            slow_clock,
             active: BTreeMap::new(),
             ended: Vec::new(),
-            barred: BTreeMap::new(),
+            finished_runs: BTreeMap::new(),
             token: 0,
             lease_ms: 0,
-            numbers: 0,
+            last_end_number: 0,
             acknowledged: 0,
             done: Vec::new(),
         }
     }
 
     pub fn clock(&self, now: u64) -> u64 {
-        let elapsed = now - self.born;
-        let elapsed = if self.slow { elapsed - elapsed / 50 } else { elapsed };
-        self.clock_ahead + elapsed
+        let elapsed = now - self.started_at;
+        let elapsed = if self.slow_clock { elapsed - elapsed / 50 } else { elapsed };
+        self.clock_offset + elapsed
     }
 
-    /// Ends what is due: work that is done, and everything once the lease has ended.
+    /// Ends runs that are complete, and all runs once the lease has expired.
     pub fn advance(&mut self, now: u64) {
         if self.clock(now) >= self.lease_ms {
             for task in self.active.keys().cloned().collect::<Vec<_>>() {
@@ -96,10 +100,10 @@
 
     fn end(&mut self, task: &TaskKey, how: EndKind) {
         let Some(run) = self.active.remove(task) else { return };
-        self.numbers += 1;
-        self.bar(task, run.run);
+        self.last_end_number += 1;
+        self.mark_finished(task, run.run);
         self.ended.push(EndedRun {
-            number: self.numbers,
+            number: self.last_end_number,
             task: task.clone(),
             run: run.run,
             how,
@@ -107,17 +111,17 @@
         });
     }
 
-    fn bar(&mut self, task: &TaskKey, run: u32) {
-        let highest = self.barred.entry(task.clone()).or_default();
+    fn mark_finished(&mut self, task: &TaskKey, run: u32) {
+        let highest = self.finished_runs.entry(task.clone()).or_default();
         *highest = (*highest).max(run);
     }
 
-    pub fn taken(&self) -> Size {
-        let mut taken = Size::default();
+    pub fn resources_in_use(&self) -> Size {
+        let mut total = Size::default();
         for run in self.active.values() {
-            taken += run.size;
+            total += run.size;
         }
-        taken
+        total
     }
 
     pub fn start(
@@ -139,17 +143,22 @@
         if self.active.get(&order.task).is_some_and(|run| run.run == order.run) {
             return StartResponse::Started;
         }
-        if self.barred.get(&order.task).is_some_and(|barred| order.run <= *barred) {
+        if self
+            .finished_runs
+            .get(&order.task)
+            .is_some_and(|finished_runs| order.run <= *finished_runs)
+        {
             return StartResponse::Outdated;
         }
-        if self.guards && !self.capacity.less(&self.taken()).holds(&task.size) {
+        if self.enforces_capacity && !self.capacity.less(&self.resources_in_use()).holds(&task.size)
+        {
             return StartResponse::NoRoom;
         }
         let run = SimRun {
             run: order.run,
             size: task.size,
             lasting: task.lasting,
-            since: now,
+            begun_at: now,
             ends: now + task.length,
             fails: task.fails,
         };
@@ -163,14 +172,14 @@
             return OrderResponse::Fenced;
         }
         self.token = token;
-        self.bar(task, run);
+        self.mark_finished(task, run);
         if self.active.get(task).is_some_and(|active| active.run <= run) {
             self.end(task, EndKind::Stopped);
         }
         OrderResponse::Done
     }
 
-    pub fn look(&mut self, now: u64, token: u64, order: &PollOrder) -> PollResponse {
+    pub fn poll(&mut self, now: u64, token: u64, order: &PollOrder) -> PollResponse {
         self.advance(now);
         if token < self.token {
             return PollResponse::Fenced;
@@ -194,7 +203,7 @@
             task: task.clone(),
             run: run.run,
             checkpoint: None::<Arc<str>>,
-            percent: if now - run.since >= 300 { 100 } else { 10 },
+            percent: if now - run.begun_at >= 300 { 100 } else { 10 },
             recent: 0,
         });
         Report { clock_ms: self.clock(now), active: active.collect(), ended: self.ended.clone() }
--- a/crates/borageswitch_scheduler/tests/support/fixtures.rs
+++ b/crates/borageswitch_scheduler/tests/support/fixtures.rs
@@ -1,4 +1,4 @@
-//! One queue, one pool, and sizes.
+//! A configuration with one queue and one pool, and sizes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 };
 use borageswitch_types::names::{PoolName, QueueName};
 
-/// The only queue.
+/// The only queue of the default configuration.
 pub fn queue() -> Queue {
     Queue {
         name: QueueName::from("runs"),
@@ -24,18 +24,19 @@
     }
 }
 
-/// A configuration with the queue and its pool, whose executors guard their capacity or not.
-pub fn config(guards: bool) -> Arc<Config> {
-    config_with(queue(), guards)
+/// A configuration with [`queue`] and its pool, whose executors enforce their capacity or not.
+pub fn config(enforces_capacity: bool) -> Arc<Config> {
+    config_with(queue(), enforces_capacity)
 }
 
-/// A configuration with this queue alone.
-pub fn config_with(queue: Queue, guards: bool) -> Arc<Config> {
-    let pool = Pool { name: queue.pool.clone(), enforces_capacity: guards, standby: false };
+/// A configuration with only the given queue.
+pub fn config_with(queue: Queue, enforces_capacity: bool) -> Arc<Config> {
+    let pool =
+        Pool { name: queue.pool.clone(), enforces_capacity: enforces_capacity, standby: false };
     Arc::new(Config::new(1, [queue], [pool]))
 }
 
-/// So many cores, with as many gigabytes.
+/// A size with a number of cores and as many gigabytes of memory.
 pub fn cores(cores: u64) -> Size {
     Size { cpu_milli: cores * 1_000, memory_mb: cores * 1_000, accelerators: 0 }
 }
--- a/crates/borageswitch_scheduler/tests/support/mod.rs
+++ b/crates/borageswitch_scheduler/tests/support/mod.rs
@@ -1,12 +1,14 @@
-//! A small world for whole runs of the scheduler in virtual time, and sessions event by event.
+//! Test support: a simulation of the scheduler in virtual time, and sessions that a test drives
+//! event by event.
 //!
-//! [`world`] carries effects out with delays and faults and feeds the answers back;
-//! [`executor`] is an executor that keeps to the platform's promises and checks ours.
-//! [`session`] leaves the answers to the test; [`fixtures`] are shared by both.
+//! - [`simulation`]: carries out effects with delays and faults, and feeds back the responses.
+//! - [`executor`]: a simulated executor that keeps the guarantees of the platform.
+//! - [`session`]: a leader whose executors respond as the test says.
+//! - [`fixtures`]: a configuration and sizes, used by both.
 
-#![allow(dead_code, unreachable_pub, reason = "each test program uses a part")]
+#![allow(dead_code, unreachable_pub, reason = "each test binary uses a part")]
 
 pub mod executor;
 pub mod fixtures;
 pub mod session;
-pub mod world;
+pub mod simulation;
--- a/crates/borageswitch_scheduler/tests/support/session.rs
+++ b/crates/borageswitch_scheduler/tests/support/session.rs
@@ -1,4 +1,4 @@
-//! A leader with executors that answer as a test says, event by event.
+//! A leader that a test drives event by event, with executors that respond as the test says.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,13 +20,13 @@
     time::UnixMillis,
 };
 
-/// A leader with executors that do what the test says.
+/// A leader, with executors that respond as the test says. `now` is in milliseconds.
 pub struct Session {
     pub scheduler: Scheduler,
     pub now: u64,
 }
 
-/// An executor of the pool, with eight cores.
+/// The registration of an executor of the pool with eight cores.
 pub fn registration(name: &str) -> Registration {
     Registration {
         executor: ExecutorName::from(name),
@@ -40,42 +40,42 @@
     }
 }
 
-/// Tasks of one core each.
+/// A step whose tasks need one core each.
 pub fn step(count: u32) -> Step {
     let estimate = Duration::from_millis(500);
     Step { count, size: cores(1), estimate, ..Step::default() }
 }
 
-/// A task of a job's first step.
+/// A task of the first step of a job.
 pub fn key(job: &str, index: u32) -> TaskKey {
     TaskKey { job: JobName::from(job), occurrence: 0, step: 0, index }
 }
 
-/// The first run of a task, at work.
+/// The first run of a task, active at 100 percent.
 pub fn active(task: &TaskKey) -> ActiveRun {
     ActiveRun { task: task.clone(), run: 1, checkpoint: None, percent: 100, recent: 0 }
 }
 
-/// The first run of a task, done.
+/// The first run of a task, completed.
 pub fn done(number: u64, task: &TaskKey) -> EndedRun {
     EndedRun { number, task: task.clone(), run: 1, how: EndKind::Done, checkpoint: None }
 }
 
-/// What the looks among the effects acknowledge.
+/// The acknowledgements in the polls among the effects.
 pub fn acknowledgements(effects: &[Effect]) -> Vec<u64> {
-    let looks = effects.iter().filter_map(|effect| match effect {
+    let polls = effects.iter().filter_map(|effect| match effect {
         Effect::Poll(_, order) => Some(order.acknowledged),
         _ => None,
     });
-    looks.collect()
+    polls.collect()
 }
 
-/// Lasting tasks that may not share a host, of which one may be away.
+/// A step of lasting tasks that may not share a host, of which one may be unavailable.
 pub fn lasting(count: u32) -> Step {
     Step { lasting: true, max_per_host: Some(1), max_unavailable: Some(1), ..step(count) }
 }
 
-/// A host of the pool that is up.
+/// A host of the pool that is up, as the platform lists it.
 pub fn host(name: &str, executor: &str) -> HostEntry {
     HostEntry {
         host: HostName::from(name),
@@ -87,7 +87,7 @@
     }
 }
 
-/// How many stops are among the effects.
+/// The number of stop orders among the effects.
 pub fn stops(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Stop(..))).count()
 }
@@ -107,7 +107,7 @@
         let scheduler =
             Scheduler::recover(Limits::default(), now, ledger, 1, config, registrations);
         let mut session = Self { scheduler, now: 10_000 };
-        // A leader that inherits orders for hosts begins with an append.
+        // A leader that inherits orders for hosts starts with an append.
         for effect in session.settle() {
             if let Effect::Append { append, .. } = effect {
                 session.handle(Event::Appended { append });
@@ -134,21 +134,21 @@
         effects.into_iter().filter(|effect| !matches!(effect, Effect::Log(_))).collect()
     }
 
-    pub fn pass(&mut self, millis: u64) -> Vec<Effect> {
+    pub fn advance(&mut self, millis: u64) -> Vec<Effect> {
         self.now += millis;
         self.settle()
     }
 
     pub fn submit(&mut self, job: &str, steps: Vec<Step>) {
-        self.submit_of(None, job, steps);
+        self.submit_for(None, job, steps);
     }
 
-    /// A caller with a key hands in a job.
+    /// Submits a job of a caller with a key.
     pub fn submit_as(&mut self, caller: &str, job: &str, steps: Vec<Step>) {
-        self.submit_of(Some(CallerName::from(caller)), job, steps);
+        self.submit_for(Some(CallerName::from(caller)), job, steps);
     }
 
-    fn submit_of(&mut self, caller: Option<CallerName>, job: &str, steps: Vec<Step>) {
+    fn submit_for(&mut self, caller: Option<CallerName>, job: &str, steps: Vec<Step>) {
         let submission = Submission {
             job: JobName::from(job),
             queue: queue(),
@@ -159,14 +159,14 @@
         self.handle(Event::Submitted(Arc::new(submission)));
     }
 
-    /// An executor answers a look that carried this acknowledgement.
+    /// Responds to a poll that carried this acknowledgement with a report.
     pub fn report(&mut self, executor: &str, active: &[ActiveRun], ended: &[EndedRun], ack: u64) {
         let report = Report { clock_ms: self.now, active: active.to_vec(), ended: ended.to_vec() };
-        self.look_answered(executor, PollResponse::Report(report), ack);
+        self.poll_answered(executor, PollResponse::Report(report), ack);
     }
 
-    /// Answers whatever look may be on its way, one that waits and one that does not.
-    pub fn look_answered(&mut self, executor: &str, response: PollResponse, ack: u64) {
+    /// Responds to any poll that may be in progress, with or without a wait.
+    pub fn poll_answered(&mut self, executor: &str, response: PollResponse, ack: u64) {
         let sent = Time::from_millis(self.now - 2);
         let executor = ExecutorName::from(executor);
         for wait in [Duration::ZERO, Duration::from_secs(1)] {
@@ -176,10 +176,10 @@
         }
     }
 
-    /// Stores the append on its way and starts whatever is then ordered.
+    /// Stores pending appends, then starts the ordered runs and returns them.
     pub fn store_and_start(&mut self) -> Vec<(ExecutorName, TaskKey)> {
         let mut started = Vec::new();
-        for effect in self.pass(50) {
+        for effect in self.advance(50) {
             if let Effect::Append { append, .. } = effect {
                 self.handle(Event::Appended { append });
             }
--- a/crates/borageswitch_scheduler/tests/support/world.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation.rs
@@ -1,14 +1,14 @@
-//! Carries effects out with delays and faults, and checks what must hold.
+//! A simulation that carries out effects with delays and faults, and checks invariants.
 //!
-//! - [`orders`]: what reaches executors, and when their answers come back.
-//! - [`hosts`]: hosts that crash, shrink, leave and are maintained.
-//! - [`culprits`]: tasks that crash whatever runs them.
-//! - [`checks`]: what must hold.
+//! - [`orders`]: delivery of orders to executors and of their responses.
+//! - [`hosts`]: hosts that crash, lose capacity, are removed and are maintained.
+//! - [`poison_tasks`]: tasks that crash the executors that run them.
+//! - [`checks`]: the invariants.
 
 mod checks;
-pub mod culprits;
 mod hosts;
 mod orders;
+pub mod poison_tasks;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -42,165 +42,171 @@
     executor::SimExecutor,
     fixtures::{config, cores, queue},
 };
-use culprits::Culprits;
 use hosts::Hosts;
+use poison_tasks::PoisonTasks;
 
-/// One step of the world, in milliseconds.
+/// One step of the simulation, in milliseconds.
 const STEP: u64 = 5;
-/// The wall clock at the world's start.
-const WALL: u64 = 1_700_000_000_000;
-/// How long a call without an answer takes.
+/// The wall clock at the start of the simulation.
+const WALL_CLOCK_START: u64 = 1_700_000_000_000;
+/// How long a call takes to time out.
 const CALL_TIMEOUT: u64 = 450;
-/// How long a call takes whose connection is reset.
-const RESET: u64 = 5;
-/// The longest that an order is on its way.
+/// How long a call takes to fail if the connection is reset.
+const RESET_TIME: u64 = 5;
+/// The longest delay of an order.
 const LONGEST_DELAY: u64 = 12_000;
 
-/// Which faults happen, each with its chance a thousand calls or steps.
+/// The probability of each fault, per thousand calls or steps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    pub lost_answer: u32,
+    pub lost_response: u32,
     pub lost_order: u32,
-    pub late_order: u32,
-    pub leader_dies: u32,
-    pub executor_dies: u32,
-    pub executor_cut: u32,
-    pub store_away: u32,
+    pub delayed_order: u32,
+    pub leader_crash: u32,
+    pub executor_crash: u32,
+    pub executor_partition: u32,
+    pub store_outage: u32,
     pub cancel: u32,
-    /// Hosts of one rack go at once; needs hosts, as all that follow.
-    pub rack_lost: u32,
-    /// A host shrinks, down to nothing at times, and grows again.
-    pub shrinks: u32,
-    /// A host is removed for good after a notice, and another one comes.
-    pub leaves: u32,
-    /// Some hosts are due for maintenance.
+    /// All hosts of one rack crash at once. This and the following faults need hosts.
+    pub rack_failure: u32,
+    /// A host loses capacity, sometimes all of it, and regains it later.
+    pub capacity_drop: u32,
+    /// A host is removed permanently after a notice, and replaced by another one.
+    pub host_removal: u32,
+    /// A maintenance wave over half of the hosts is requested.
     pub wave: u32,
-    /// The platform's list of hosts is away for some seconds.
-    pub list_away: u32,
-    /// Executors start again under the names that they had. Not a chance: all do, or none.
-    pub same_names: bool,
+    /// The platform's list of hosts is unavailable for some seconds.
+    pub host_list_outage: u32,
+    /// Executors restart under the names that they had. This is a switch, not a probability.
+    pub reuse_names: bool,
 }
 
 enum Due {
-    Order { token: u64, effect: Effect, answered: bool, kept_by: Option<ExecutorName> },
+    Order { token: u64, effect: Effect, answered: bool, held_by: Option<ExecutorName> },
     Event { token: u64, event: Event },
-    Departure { host: HostName, executor: Option<ExecutorName>, guards: bool },
+    HostRemoval { host: HostName, executor: Option<ExecutorName>, enforces_capacity: bool },
 }
 
-/// The world: executors, a store and whoever leads.
-pub struct World {
+/// A simulated site: executors, a store and the current leader.
+pub struct Simulation {
     pub rng: Rng,
     pub now: u64,
     pub faults: Faults,
     pub executors: BTreeMap<ExecutorName, SimExecutor>,
-    cut: BTreeMap<ExecutorName, u64>,
+    partitioned_until: BTreeMap<ExecutorName, u64>,
     dead: BTreeSet<ExecutorName>,
     submissions: BTreeMap<JobName, Arc<Submission>>,
     stored_jobs: BTreeSet<JobName>,
     cancelled: BTreeMap<JobName, u64>,
     appends: BTreeMap<u64, Vec<Record>>,
     snapshot: Snapshot,
-    store_away_until: u64,
-    waiting_appends: Vec<(u64, u64, Vec<Record>, Vec<JobName>)>,
+    store_outage_until: u64,
+    pending_appends: Vec<(u64, u64, Vec<Record>, Vec<JobName>)>,
     leader: Option<Scheduler>,
     token: u64,
     leader_back_at: u64,
-    leads_since: u64,
+    leader_since: u64,
     due: Vec<(u64, Due)>,
     next_executor: u32,
     config: Arc<Config>,
-    /// Quotas of earlier configurations, and until when a start may go by them.
+    /// Quotas of earlier configurations, each with the time until which starts may rely on it.
     earlier_quotas: Vec<(u64, CallerName, Size)>,
-    pub shown: BTreeMap<JobName, Outcome>,
-    /// When that was shown first.
-    pub shown_at: BTreeMap<JobName, u64>,
-    pub broken: Vec<String>,
+    pub reported: BTreeMap<JobName, Outcome>,
+    /// When each outcome was first reported.
+    pub reported_at: BTreeMap<JobName, u64>,
+    pub violations: Vec<String>,
     hosts: Option<Hosts>,
-    pub culprits: Culprits,
-    /// Executors start again under the names that they had.
-    same_names: bool,
+    pub poison_tasks: PoisonTasks,
+    reuse_names: bool,
 }
 
-impl World {
-    pub fn new(seed: u64, hosts: usize, guards: bool, faults: Faults) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub fn new(seed: u64, hosts: usize, enforces_capacity: bool, faults: Faults) -> Self {
+        let mut simulation = Self {
             rng: Rng::with_seed(seed),
             now: 1_000,
             faults,
             executors: BTreeMap::new(),
-            cut: BTreeMap::new(),
+            partitioned_until: BTreeMap::new(),
             dead: BTreeSet::new(),
             submissions: BTreeMap::new(),
             stored_jobs: BTreeSet::new(),
             cancelled: BTreeMap::new(),
             appends: BTreeMap::new(),
             snapshot: Snapshot::default(),
-            store_away_until: 0,
-            waiting_appends: Vec::new(),
+            store_outage_until: 0,
+            pending_appends: Vec::new(),
             leader: None,
             token: 0,
             leader_back_at: 0,
-            leads_since: 0,
+            leader_since: 0,
             due: Vec::new(),
             next_executor: 0,
-            config: config(guards),
+            config: config(enforces_capacity),
             earlier_quotas: Vec::new(),
-            shown: BTreeMap::new(),
-            shown_at: BTreeMap::new(),
-            broken: Vec::new(),
+            reported: BTreeMap::new(),
+            reported_at: BTreeMap::new(),
+            violations: Vec::new(),
             hosts: None,
-            culprits: Culprits::default(),
-            same_names: faults.same_names,
+            poison_tasks: PoisonTasks::default(),
+            reuse_names: faults.reuse_names,
         };
         for _ in 0..hosts {
-            world.add_executor(guards);
+            simulation.add_executor(enforces_capacity);
         }
-        world
+        simulation
     }
 
-    /// A world whose executors run on hosts that the platform lists.
-    pub fn with_hosts(seed: u64, hosts: usize, guards: bool, faults: Faults) -> Self {
-        let mut world = Self::new(seed, 0, guards, faults);
-        world.hosts = Some(Hosts::default());
+    /// Creates a simulation whose executors run on hosts that the platform lists.
+    pub fn with_hosts(seed: u64, hosts: usize, enforces_capacity: bool, faults: Faults) -> Self {
+        let mut simulation = Self::new(seed, 0, enforces_capacity, faults);
+        simulation.hosts = Some(Hosts::default());
         for _ in 0..hosts {
-            world.add_host(guards);
+            simulation.add_host(enforces_capacity);
         }
-        world
+        simulation
     }
 
-    fn add_executor(&mut self, guards: bool) -> ExecutorName {
+    fn add_executor(&mut self, enforces_capacity: bool) -> ExecutorName {
         self.next_executor += 1;
         let name = ExecutorName::from(format!("e{}", self.next_executor));
-        if self.same_names {
-            return self.begin_life(&name, guards);
+        if self.reuse_names {
+            return self.start_incarnation(&name, enforces_capacity);
         }
-        let ahead = self.rng.u64(..1_000_000);
-        let slow = self.rng.bool();
-        self.executors.insert(name.clone(), SimExecutor::new(cores(16), guards, ahead, slow));
+        let clock_offset = self.rng.u64(..1_000_000);
+        let slow_clock = self.rng.bool();
+        self.executors.insert(
+            name.clone(),
+            SimExecutor::new(cores(16), enforces_capacity, clock_offset, slow_clock),
+        );
         name
     }
 
-    /// A life begins of the executor that is registered under a name; its clock starts anew.
-    fn begin_life(&mut self, registered: &ExecutorName, guards: bool) -> ExecutorName {
-        let life =
+    /// Starts a new incarnation of an executor under its registered name; its clock starts at 0.
+    fn start_incarnation(
+        &mut self,
+        registered: &ExecutorName,
+        enforces_capacity: bool,
+    ) -> ExecutorName {
+        let id =
             incarnation::name(incarnation::registered_name(registered), Some(self.moment().wall));
-        let slow = self.rng.bool();
-        let executor = SimExecutor::new(cores(16), guards, 0, slow);
-        self.executors.insert(life.clone(), SimExecutor { born: self.now, ..executor });
-        life
+        let slow_clock = self.rng.bool();
+        let executor = SimExecutor::new(cores(16), enforces_capacity, 0, slow_clock);
+        self.executors.insert(id.clone(), SimExecutor { started_at: self.now, ..executor });
+        id
     }
 
-    /// The life that whatever is sent to an executor arrives at.
-    fn addressee(&self, executor: &ExecutorName) -> ExecutorName {
-        let same = |life: &&ExecutorName| {
-            incarnation::registered_name(life) == incarnation::registered_name(executor)
+    /// The incarnation that receives orders for an executor.
+    fn current_incarnation(&self, executor: &ExecutorName) -> ExecutorName {
+        let same = |id: &&ExecutorName| {
+            incarnation::registered_name(id) == incarnation::registered_name(executor)
         };
-        let lives = self.executors.keys().filter(same);
-        lives.filter(|life| !self.dead.contains(*life)).max().unwrap_or(executor).clone()
+        let incarnations = self.executors.keys().filter(same);
+        incarnations.filter(|id| !self.dead.contains(*id)).max().unwrap_or(executor).clone()
     }
 
     fn moment(&self) -> Now {
-        Now { time: Time::from_millis(self.now), wall: UnixMillis(WALL + self.now) }
+        Now { time: Time::from_millis(self.now), wall: UnixMillis(WALL_CLOCK_START + self.now) }
     }
 
     fn registrations(&self) -> Vec<Registration> {
@@ -222,11 +228,11 @@
             .collect()
     }
 
-    /// The operator sets what a caller's tasks may use at once.
+    /// Changes the quota of a caller.
     pub fn set_quota(&mut self, caller: &str, quota: Size) {
         let name = CallerName::from(caller);
         if let Some(before) = self.config.callers.get(&name) {
-            // An order that left under it may be carried out that much later.
+            // An order that was sent under the old quota may arrive this much later.
             let until = self.now + LONGEST_DELAY;
             self.earlier_quotas.push((until, name.clone(), before.quota));
         }
@@ -241,18 +247,17 @@
         }
     }
 
-    /// What was handed in.
+    /// All submitted jobs.
     pub fn submissions(&self) -> impl Iterator<Item = (&JobName, &Arc<Submission>)> {
         self.submissions.iter()
     }
 
-    /// Whether jobs have callers.
     pub fn has_callers(&self) -> bool {
         !self.config.callers.is_empty()
     }
 
-    /// Some caller with a quota, if there are any.
-    fn some_caller(&mut self) -> Option<CallerName> {
+    /// A random caller with a quota, if there is one.
+    fn random_caller(&mut self) -> Option<CallerName> {
         let callers: Vec<&CallerName> = self.config.callers.keys().collect();
         if callers.is_empty() {
             return None;
@@ -261,25 +266,25 @@
         Some(callers[chosen].clone())
     }
 
-    /// A caller hands in a job.
+    /// Submits a job.
     pub fn submit(&mut self, steps: Vec<Step>) -> JobName {
         self.submit_at(steps, None)
     }
 
-    /// A caller hands in a job that runs at set times.
+    /// Submits a job with a schedule.
     pub fn submit_timed(&mut self, steps: Vec<Step>, times: u32) -> JobName {
-        let first = UnixMillis(WALL + self.now + self.rng.u64(500..3_000));
+        let first = UnixMillis(WALL_CLOCK_START + self.now + self.rng.u64(500..3_000));
         let interval = Duration::from_millis(self.rng.u64(1_000..4_000));
         self.submit_at(steps, Some(Schedule { first, interval, times }))
     }
 
     fn submit_at(&mut self, steps: Vec<Step>, schedule: Option<Schedule>) -> JobName {
         let name = JobName::from(format!("{:016x}", self.rng.u64(..)));
-        let caller = self.some_caller();
+        let caller = self.random_caller();
         let submission = Arc::new(Submission {
             job: name.clone(),
             queue: queue(),
-            accepted: UnixMillis(WALL + self.now),
+            accepted: UnixMillis(WALL_CLOCK_START + self.now),
             spec: JobSpec { text: "text".into(), steps, schedule },
             caller,
         });
@@ -296,7 +301,7 @@
         let open: Vec<JobName> = self
             .submissions
             .keys()
-            .filter(|job| !self.cancelled.contains_key(*job) && !self.shown.contains_key(*job))
+            .filter(|job| !self.cancelled.contains_key(*job) && !self.reported.contains_key(*job))
             .cloned()
             .collect();
         if open.is_empty() {
@@ -310,7 +315,7 @@
         }
     }
 
-    /// Lets the world go on for so many milliseconds.
+    /// Runs the simulation for a number of milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -320,19 +325,19 @@
     }
 
     fn step(&mut self) {
-        self.strike();
-        self.lead();
+        self.inject_faults();
+        self.elect_leader();
         self.deliver();
-        self.crash_culprits();
+        self.crash_poisoned_executors();
         self.advance_hosts();
-        self.hold_gangs();
+        self.stall_incomplete_gangs();
         for (name, executor) in &mut self.executors {
             if !self.dead.contains(name) {
                 executor.advance(self.now);
             }
         }
         self.store();
-        self.decide();
+        self.run_leader();
         self.check();
     }
 
@@ -340,26 +345,26 @@
         per_mille > 0 && self.rng.u32(..1_000) < per_mille
     }
 
-    fn strike(&mut self) {
-        if self.chance(self.faults.leader_dies) && self.leader.is_some() {
+    fn inject_faults(&mut self) {
+        if self.chance(self.faults.leader_crash) && self.leader.is_some() {
             self.leader = None;
             self.leader_back_at = self.now + self.rng.u64(50..3_000);
         }
-        if self.chance(self.faults.executor_dies) {
+        if self.chance(self.faults.executor_crash) {
             self.kill_executor();
         }
-        if self.chance(self.faults.executor_cut) {
+        if self.chance(self.faults.executor_partition) {
             let alive: Vec<_> = self.executors.keys().cloned().collect();
             let victim = alive[self.rng.usize(..alive.len())].clone();
-            self.cut.insert(victim, self.now + self.rng.u64(500..9_000));
+            self.partitioned_until.insert(victim, self.now + self.rng.u64(500..9_000));
         }
-        if self.chance(self.faults.store_away) {
-            self.store_away_until = self.now + self.rng.u64(200..6_000);
+        if self.chance(self.faults.store_outage) {
+            self.store_outage_until = self.now + self.rng.u64(200..6_000);
         }
         if self.chance(self.faults.cancel) {
             self.cancel_one();
         }
-        self.strike_hosts();
+        self.inject_host_faults();
     }
 
     fn kill_executor(&mut self) {
@@ -373,14 +378,14 @@
             self.crash(&victim);
             return;
         }
-        let guards = self.executors[&victim].guards;
+        let enforces_capacity = self.executors[&victim].enforces_capacity;
         self.executors.get_mut(&victim).unwrap().active.clear();
         self.dead.insert(victim);
-        self.add_executor(guards);
-        self.tell_registrations();
+        self.add_executor(enforces_capacity);
+        self.send_registrations();
     }
 
-    fn tell_registrations(&mut self) {
+    fn send_registrations(&mut self) {
         let all = self.registrations();
         let moment = self.moment();
         if let Some(leader) = &mut self.leader {
@@ -388,16 +393,16 @@
         }
     }
 
-    /// Whoever leads next rebuilds the ledger from what is stored.
-    fn lead(&mut self) {
+    /// Starts a new leader, which rebuilds the ledger from the store.
+    fn elect_leader(&mut self) {
         if self.leader.is_some() || self.now < self.leader_back_at {
             return;
         }
-        if self.now < self.store_away_until {
+        if self.now < self.store_outage_until {
             return;
         }
         self.token += 1;
-        self.waiting_appends.clear();
+        self.pending_appends.clear();
         let jobs: Vec<Arc<Submission>> =
             self.stored_jobs.iter().map(|job| self.submissions[job].clone()).collect();
         let mut ledger: Ledger = self.snapshot.clone().restore(jobs.iter().cloned());
@@ -422,14 +427,14 @@
             leader.handle(moment, Event::Cancelled(job.clone()));
         }
         self.leader = Some(leader);
-        self.leads_since = self.now;
+        self.leader_since = self.now;
     }
 
     fn store(&mut self) {
-        if self.now < self.store_away_until {
+        if self.now < self.store_outage_until {
             return;
         }
-        for (token, append, records, forget) in std::mem::take(&mut self.waiting_appends) {
+        for (token, append, records, forget) in std::mem::take(&mut self.pending_appends) {
             if token != self.token || self.leader.is_none() {
                 continue;
             }
@@ -443,7 +448,7 @@
         }
     }
 
-    fn decide(&mut self) {
+    fn run_leader(&mut self) {
         let moment = self.moment();
         let token = self.token;
         let Some(leader) = &mut self.leader else { return };
@@ -456,14 +461,14 @@
                 _ => None,
             };
             if let Some(outcome) = outcome {
-                self.shown.entry(job.clone()).or_insert(outcome);
-                self.shown_at.entry(job.clone()).or_insert(self.now);
+                self.reported.entry(job.clone()).or_insert(outcome);
+                self.reported_at.entry(job.clone()).or_insert(self.now);
             }
         }
         for effect in effects {
             match effect {
                 Effect::Append { append, records, forget } => {
-                    self.waiting_appends.push((token, append, records, forget));
+                    self.pending_appends.push((token, append, records, forget));
                 }
                 Effect::Start(..) | Effect::Stop(..) | Effect::Poll(..) => self.send(token, effect),
                 Effect::ListHosts => {
@@ -476,7 +481,9 @@
                     self.snapshot = *snapshot;
                     self.appends.retain(|number, _| !remove.contains(number));
                 }
-                Effect::StepDown => self.broken.push("stepped down without a rival".to_owned()),
+                Effect::StepDown => {
+                    self.violations.push("stepped down without another leader".to_owned())
+                }
                 Effect::Log(line) => {
                     if std::env::var_os("BORAGESWITCH_LOG").is_some() {
                         println!("{} {} {} {}", self.now, line.kind, line.subject, line.detail);
--- a/crates/borageswitch_scheduler/tests/support/world/checks.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation/checks.rs
@@ -1,28 +1,31 @@
-//! What must hold, at each moment and at the end.
+//! Invariants, checked at each step and at the end of a simulation.
 
 use borageswitch_scheduler::{effect::Effect, job::Size, ledger::record::Outcome, task::TaskKey};
 use borageswitch_types::names::{CallerName, ExecutorName, JobName};
 
-use super::{Faults, World};
+use super::{Faults, Simulation};
 use crate::support::executor::SimExecutor;
 
-impl World {
-    /// A leader that was told of a cancelling sends no start of that job any more.
+impl Simulation {
+    /// Checks that a leader sends no start of a job after it was notified of the cancellation.
     pub(super) fn check_sent(&mut self, effect: &Effect) {
         if let Effect::Start(to, order) = effect
             && self.cancelled.contains_key(&order.task.job)
         {
-            self.broken.push(format!("{} sent to {} though cancelled", order.task, to.executor));
+            self.violations
+                .push(format!("{} sent to {} though cancelled", order.task, to.executor));
         }
     }
 
     pub(super) fn check_started(&mut self, executor: &ExecutorName, task: &TaskKey) {
         for (other, known) in &self.executors {
             if other != executor && !self.dead.contains(other) && known.active.contains_key(task) {
-                self.broken.push(format!("{}: {task} runs on {other} and {executor}", self.now));
+                self.violations
+                    .push(format!("{}: {task} runs on {other} and {executor}", self.now));
             }
             if known.done.contains(task) {
-                self.broken.push(format!("{}: {task} started again after it was done", self.now));
+                self.violations
+                    .push(format!("{}: {task} started again after it was done", self.now));
             }
         }
         let step = &self.submissions[&task.job].spec.steps[usize::from(task.step)];
@@ -34,18 +37,18 @@
                     known.done.contains(&earlier) || known.ended.iter().any(|e| e.task == earlier)
                 };
                 if !self.executors.values().any(ended) {
-                    self.broken.push(format!("{task} started before {earlier} was done"));
+                    self.violations.push(format!("{task} started before {earlier} was done"));
                 }
             }
         }
         self.check_quota(task);
         let known = &self.executors[executor];
-        if !self.lately_had(executor).holds(&known.taken()) {
-            self.broken.push(format!("{executor} is over its capacity"));
+        if !self.recent_capacity(executor).holds(&known.resources_in_use()) {
+            self.violations.push(format!("{executor} is over its capacity"));
         }
     }
 
-    /// A task starts only while what else its caller has running is below the quota.
+    /// Checks that a task starts only while the other runs of its caller use less than the quota.
     fn check_quota(&mut self, task: &TaskKey) {
         let Some(caller) = self.submissions[&task.job].caller.clone() else { return };
         let quota = self.highest_quota(&caller);
@@ -61,11 +64,11 @@
         if quota.cpu_milli > 0 && used.cpu_milli >= quota.cpu_milli {
             let (used, quota) = (used.cpu_milli, quota.cpu_milli);
             let now = self.now;
-            self.broken.push(format!("{now}: {task} started, {caller} uses {used} of {quota}"));
+            self.violations.push(format!("{now}: {task} started, {caller} uses {used} of {quota}"));
         }
     }
 
-    /// The highest quota by which a start that arrives now may have been ordered.
+    /// The highest quota that may have been in force when a start that arrives now was ordered.
     fn highest_quota(&self, caller: &CallerName) -> Size {
         let now = self.config.callers[caller].quota;
         let earlier = self
@@ -78,45 +81,45 @@
 
     pub(super) fn check(&mut self) {
         self.check_failed();
-        if let Some((job, outcome)) = self.shown.iter().find(|(job, outcome)| {
+        if let Some((job, outcome)) = self.reported.iter().find(|(job, outcome)| {
             **outcome == Outcome::Cancelled && !self.cancelled.contains_key(*job)
         }) {
-            self.broken.push(format!("{job} is shown as {outcome} though nobody cancelled it"));
+            self.violations.push(format!("{job} is shown as {outcome} though nobody cancelled it"));
         }
     }
 
-    /// Ends all faults.
-    pub fn calm_down(&mut self) {
+    /// Ends all faults, so that the simulation can settle.
+    pub fn clear_faults(&mut self) {
         self.faults = Faults::default();
-        self.cut.clear();
-        self.store_away_until = 0;
+        self.partitioned_until.clear();
+        self.store_outage_until = 0;
     }
 
-    /// Jobs that were neither cancelled nor have ended.
+    /// Jobs that have not ended, except for lasting jobs.
     pub fn open_jobs(&self) -> Vec<&JobName> {
-        let open = |job: &&JobName| !self.shown.contains_key(*job);
+        let open = |job: &&JobName| !self.reported.contains_key(*job);
         let lasts = |job: &&JobName| {
-            self.submissions[*job].spec.is_lasting() && !self.culprits.is_culprit(job)
+            self.submissions[*job].spec.is_lasting() && !self.poison_tasks.is_poison(job)
         };
         self.submissions.keys().filter(open).filter(|job| !lasts(job)).collect()
     }
 
-    /// Runs of jobs that were cancelled or have ended.
-    pub fn leftovers(&self) -> Vec<&TaskKey> {
+    /// Active runs of jobs that were cancelled or have ended.
+    pub fn orphan_runs(&self) -> Vec<&TaskKey> {
         let alive = self.executors.iter().filter(|(name, _)| !self.dead.contains(*name));
         let tasks = alive.flat_map(|(_, known)| known.active.keys());
         let over = |task: &&TaskKey| {
-            self.cancelled.contains_key(&task.job) || self.shown.contains_key(&task.job)
+            self.cancelled.contains_key(&task.job) || self.reported.contains_key(&task.job)
         };
         tasks.filter(over).collect()
     }
 
-    /// Lasting tasks of jobs that are not cancelled, and how many of them run.
+    /// The number of lasting tasks of jobs that are not cancelled, and how many of them run.
     pub fn lasting(&self) -> (usize, usize) {
         let mut wanted = 0;
         let mut running = 0;
         for (name, submission) in &self.submissions {
-            let over = self.cancelled.contains_key(name) || self.culprits.is_culprit(name);
+            let over = self.cancelled.contains_key(name) || self.poison_tasks.is_poison(name);
             if !submission.spec.is_lasting() || over {
                 continue;
             }
--- a/crates/borageswitch_scheduler/tests/support/world/hosts.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that crash, shrink, leave and are maintained, and gangs, which span hosts.
+//! Hosts that crash, lose capacity, are removed and are maintained, and gangs, which span hosts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,42 +17,42 @@
 };
 use borageswitch_types::names::{DataCentreName, ExecutorName, HostName};
 
-use super::{Due, World};
+use super::{Due, Simulation};
 use crate::support::fixtures::{cores, queue};
 
-/// How long an executor that crashed stays registered, in milliseconds.
-const REGISTERED: u64 = 4_500;
-/// How long a host is away for maintenance.
+/// How long a crashed executor stays registered, in milliseconds.
+const REGISTRATION_TTL: u64 = 4_500;
+/// The duration of maintenance of a host, in milliseconds.
 const MAINTENANCE: u64 = 2_000;
-/// How long after a host has shrunk a start may still go by what it had before.
-const SHRINK_SLACK: u64 = 4_500;
-/// How many racks there are.
+/// For how long after a loss of capacity a start may rely on the earlier capacity, in milliseconds.
+const CAPACITY_DROP_GRACE: u64 = 4_500;
+/// The number of racks.
 const RACKS: usize = 3;
 
 #[derive(Clone, Debug)]
 struct SimHost {
     rack: usize,
     port: u16,
-    guards: bool,
+    enforces_capacity: bool,
     state: HostState,
     executor: Option<ExecutorName>,
-    /// The life of its executor that ended last.
+    /// The last incarnation of its executor that has ended.
     last: Option<ExecutorName>,
     back_at: u64,
     draining: bool,
     capacity: Size,
-    /// When it shrank, and to what it had before that.
-    shrunk: Option<(u64, Size)>,
-    grows_at: u64,
+    /// The time of the loss of capacity, and the capacity before it.
+    capacity_dropped: Option<(u64, Size)>,
+    restored_at: u64,
 }
 
-/// The hosts of a world, and who is registered.
+/// All hosts of a simulation, and the registrations of their executors.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Hosts {
     all: BTreeMap<HostName, SimHost>,
-    /// Executors whose life is over, and until when they stay registered.
+    /// Registrations of executors that have ended, each with the time of its expiry.
     expiring: Vec<(u64, Registration)>,
-    /// Executors that crashed on hosts that stand.
+    /// Executors that crashed while their host stayed up, so that connections are reset.
     reset: BTreeSet<ExecutorName>,
     away_until: u64,
     waves: u64,
@@ -90,45 +90,45 @@
     }
 }
 
-impl World {
-    pub(super) fn add_host(&mut self, guards: bool) {
-        let executor = self.add_executor(guards);
+impl Simulation {
+    pub(super) fn add_host(&mut self, enforces_capacity: bool) {
+        let executor = self.add_executor(enforces_capacity);
         let Some(hosts) = &mut self.hosts else { return };
         hosts.next_host += 1;
         let name = HostName::from(format!("h{}", hosts.next_host));
         let host = SimHost {
             rack: hosts.next_host as usize % RACKS,
             port: 1_000 + hosts.next_host as u16,
-            guards,
+            enforces_capacity,
             state: HostState::Up,
             executor: Some(executor),
             last: None,
             back_at: 0,
             draining: false,
             capacity: cores(16),
-            shrunk: None,
-            grows_at: 0,
+            capacity_dropped: None,
+            restored_at: 0,
         };
         hosts.all.insert(name, host);
     }
 
-    /// An executor goes with all that it runs; its host comes back some seconds later.
+    /// Crashes an executor with all its runs. Its host comes back some seconds later.
     pub(super) fn crash(&mut self, executor: &ExecutorName) {
         let back_at = self.now + self.rng.u64(2_000..5_000);
-        let stands = self.rng.bool();
-        if let Some(hosts) = self.hosts.as_mut().filter(|_| stands) {
+        let host_stays_up = self.rng.bool();
+        if let Some(hosts) = self.hosts.as_mut().filter(|_| host_stays_up) {
             hosts.reset.insert(executor.clone());
-            self.hurry_orders(executor);
+            self.reset_calls(executor);
         }
-        self.end_life(executor, HostState::Down, back_at);
+        self.end_incarnation(executor, HostState::Down, back_at);
     }
 
-    /// Whether connections to an executor are reset.
+    /// Whether connections to an executor are reset instead of timing out.
     pub(super) fn is_reset(&self, executor: &ExecutorName) -> bool {
         self.hosts.as_ref().is_some_and(|hosts| hosts.reset.contains(executor))
     }
 
-    fn end_life(&mut self, executor: &ExecutorName, state: HostState, back_at: u64) {
+    fn end_incarnation(&mut self, executor: &ExecutorName, state: HostState, back_at: u64) {
         let now = self.now;
         let Some(hosts) = &mut self.hosts else { return };
         let of = |host: &&mut SimHost| host.executor.as_ref() == Some(executor);
@@ -138,18 +138,18 @@
         host.state = state;
         host.back_at = back_at;
         host.draining = false;
-        host.shrunk = None;
+        host.capacity_dropped = None;
         host.capacity = cores(16);
-        // Only what crashes leaves its registration behind.
+        // Only a crashed executor stays registered for a while.
         if let Some(registration) = registration.filter(|_| state == HostState::Down) {
-            hosts.expiring.push((now + REGISTERED, registration));
+            hosts.expiring.push((now + REGISTRATION_TTL, registration));
         }
         if let Some(known) = self.executors.get_mut(executor) {
             known.active.clear();
         }
         self.dead.insert(executor.clone());
         if state != HostState::Down {
-            self.tell_registrations();
+            self.send_registrations();
         }
     }
 
@@ -162,39 +162,41 @@
         let is_back = |host: &SimHost| host.state != HostState::Up && host.back_at <= now;
         let back: Vec<HostName> =
             hosts.all.iter().filter(|(_, h)| is_back(h)).map(|(name, _)| name.clone()).collect();
-        let grows = |host: &SimHost| host.shrunk.is_some() && host.grows_at <= now;
-        for host in hosts.all.values_mut().filter(|host| grows(host)) {
-            host.shrunk = None;
+        let is_restored =
+            |host: &SimHost| host.capacity_dropped.is_some() && host.restored_at <= now;
+        for host in hosts.all.values_mut().filter(|host| is_restored(host)) {
+            host.capacity_dropped = None;
             host.capacity = cores(16);
             changed = true;
         }
         for name in &back {
-            let guards = self.hosts.as_ref().is_some_and(|hosts| hosts.all[name].guards);
-            let executor = self.come_back(name, guards);
-            // Some come back at the same address, some at another one.
+            let enforces_capacity =
+                self.hosts.as_ref().is_some_and(|hosts| hosts.all[name].enforces_capacity);
+            let executor = self.restart_executor(name, enforces_capacity);
+            // Some executors come back at the same address, some at another one.
             let port = self.rng.u16(2_000..60_000);
-            let moves = self.rng.bool();
+            let changes_port = self.rng.bool();
             let host = self.hosts.as_mut().and_then(|hosts| hosts.all.get_mut(name));
             let Some(host) = host else { continue };
             host.state = HostState::Up;
             host.executor = Some(executor);
-            host.port = if moves { port } else { host.port };
+            host.port = if changes_port { port } else { host.port };
         }
         if changed || !back.is_empty() {
-            self.tell_registrations();
+            self.send_registrations();
         }
         self.sync_capacities();
     }
 
-    /// Another life of a host's executor begins.
-    fn come_back(&mut self, host: &HostName, guards: bool) -> ExecutorName {
+    /// Starts a new executor on a host, under the same name if `reuse_names` is set.
+    fn restart_executor(&mut self, host: &HostName, enforces_capacity: bool) -> ExecutorName {
         let before = self.hosts.as_ref().and_then(|hosts| hosts.all[host].last.clone());
-        let Some(before) = before.filter(|_| self.same_names) else {
-            return self.add_executor(guards);
+        let Some(before) = before.filter(|_| self.reuse_names) else {
+            return self.add_executor(enforces_capacity);
         };
-        let next = self.begin_life(&before, guards);
+        let next = self.start_incarnation(&before, enforces_capacity);
         if let Some(hosts) = &mut self.hosts {
-            // An entry of the same name is written over.
+            // The new registration replaces an old one of the same name.
             hosts.expiring.retain(|(_, r)| {
                 incarnation::registered_name(&r.executor) != incarnation::registered_name(&next)
             });
@@ -202,7 +204,7 @@
         next
     }
 
-    /// Executors guard what their hosts have at this moment.
+    /// Sets the capacity that executors enforce to the current capacity of their hosts.
     fn sync_capacities(&mut self) {
         let Some(hosts) = &self.hosts else { return };
         for host in hosts.all.values() {
@@ -213,26 +215,26 @@
         }
     }
 
-    pub(super) fn strike_hosts(&mut self) {
+    pub(super) fn inject_host_faults(&mut self) {
         if self.hosts.is_none() {
             return;
         }
-        if self.chance(self.faults.rack_lost) {
+        if self.chance(self.faults.rack_failure) {
             let rack = self.rng.usize(..RACKS);
             for executor in self.executors_where(|host| host.rack == rack) {
                 self.crash(&executor);
             }
         }
-        if self.chance(self.faults.shrinks) {
-            self.shrink();
+        if self.chance(self.faults.capacity_drop) {
+            self.drop_capacity();
         }
-        if self.chance(self.faults.leaves) {
-            self.leave();
+        if self.chance(self.faults.host_removal) {
+            self.announce_removal();
         }
         if self.chance(self.faults.wave) {
-            self.ask_for_wave();
+            self.request_wave();
         }
-        if self.chance(self.faults.list_away) {
+        if self.chance(self.faults.host_list_outage) {
             let until = self.now + self.rng.u64(500..6_000);
             if let Some(hosts) = &mut self.hosts {
                 hosts.away_until = until;
@@ -248,60 +250,60 @@
         hosts.filter(|host| wanted(host)).filter_map(|host| host.executor.clone()).collect()
     }
 
-    fn some_host(&mut self) -> Option<HostName> {
+    fn random_host(&mut self) -> Option<HostName> {
         let hosts = self.hosts.as_ref()?;
         let up = hosts.all.iter().filter(|(_, host)| host.executor.is_some() && !host.draining);
         let up: Vec<HostName> = up.map(|(name, _)| name.clone()).collect();
         if up.is_empty() { None } else { Some(up[self.rng.usize(..up.len())].clone()) }
     }
 
-    fn shrink(&mut self) {
-        let Some(name) = self.some_host() else { return };
+    fn drop_capacity(&mut self) {
+        let Some(name) = self.random_host() else { return };
         let left = if self.rng.u32(..4) == 0 { 0 } else { self.rng.u64(1..12) };
-        let grows_at = self.now + self.rng.u64(1_000..8_000);
+        let restored_at = self.now + self.rng.u64(1_000..8_000);
         let now = self.now;
         let host = self.hosts.as_mut().and_then(|hosts| hosts.all.get_mut(&name));
-        if let Some(host) = host.filter(|host| host.shrunk.is_none()) {
-            host.shrunk = Some((now, host.capacity));
+        if let Some(host) = host.filter(|host| host.capacity_dropped.is_none()) {
+            host.capacity_dropped = Some((now, host.capacity));
             host.capacity = cores(left);
-            host.grows_at = grows_at;
-            self.tell_registrations();
+            host.restored_at = restored_at;
+            self.send_registrations();
         }
     }
 
-    /// A host says that it leaves, and has left some seconds later; another one comes.
-    fn leave(&mut self) {
-        let Some(name) = self.some_host() else { return };
+    /// Drains a random host and schedules its removal and replacement some seconds later.
+    fn announce_removal(&mut self) {
+        let Some(name) = self.random_host() else { return };
         let at = self.now + self.rng.u64(2_000..4_000);
         let host = self.hosts.as_mut().and_then(|hosts| hosts.all.get_mut(&name));
         let Some(host) = host else { return };
         host.draining = true;
-        let (guards, executor) = (host.guards, host.executor.clone());
-        self.tell_registrations();
-        self.due.push((at, Due::Departure { host: name, executor, guards }));
+        let (enforces_capacity, executor) = (host.enforces_capacity, host.executor.clone());
+        self.send_registrations();
+        self.due.push((at, Due::HostRemoval { host: name, executor, enforces_capacity }));
     }
 
-    pub(super) fn depart(
+    pub(super) fn remove_host(
         &mut self,
         name: &HostName,
         executor: Option<&ExecutorName>,
-        guards: bool,
+        enforces_capacity: bool,
     ) {
         let there = self.hosts.as_ref().and_then(|hosts| hosts.all.get(name));
         if there.is_none_or(|host| host.executor.as_ref() != executor) {
             return;
         }
         if let Some(executor) = executor {
-            self.end_life(executor, HostState::Moving, u64::MAX);
+            self.end_incarnation(executor, HostState::Moving, u64::MAX);
         }
         if let Some(hosts) = &mut self.hosts {
             hosts.all.remove(name);
         }
-        self.add_host(guards);
-        self.tell_registrations();
+        self.add_host(enforces_capacity);
+        self.send_registrations();
     }
 
-    fn ask_for_wave(&mut self) {
+    fn request_wave(&mut self) {
         let Some(hosts) = &mut self.hosts else { return };
         hosts.waves += 1;
         let wave = hosts.waves;
@@ -335,7 +337,7 @@
         let up = host.filter(|host| host.state == HostState::Up && !host.draining);
         let response = match (up.and_then(|host| host.executor.clone()), order) {
             (Some(executor), HostOrder::Maintain(_)) => {
-                self.end_life(&executor, HostState::InMaintenance, self.now + MAINTENANCE);
+                self.end_incarnation(&executor, HostState::InMaintenance, self.now + MAINTENANCE);
                 HostOrderResponse::Done
             }
             _ => HostOrderResponse::Busy,
@@ -344,16 +346,17 @@
         self.due.push((self.now + 10, Due::Event { token, event }));
     }
 
-    /// The most that a start may rely on: what a host has, or had until not long ago.
-    pub(super) fn lately_had(&self, executor: &ExecutorName) -> Size {
+    /// The capacity that a start may rely on: the current one, or the one before a recent loss.
+    pub(super) fn recent_capacity(&self, executor: &ExecutorName) -> Size {
         let host = self.hosts.as_ref().and_then(|hosts| hosts.of(executor));
-        let lately =
-            host.and_then(|host| host.shrunk).filter(|(at, _)| self.now - at < SHRINK_SLACK);
+        let lately = host
+            .and_then(|host| host.capacity_dropped)
+            .filter(|(at, _)| self.now - at < CAPACITY_DROP_GRACE);
         lately.map_or(self.executors[executor].capacity, |(_, before)| before)
     }
 
-    /// A member of a gang works on until all members of the same run are there.
-    pub(super) fn hold_gangs(&mut self) {
+    /// Delays the end of gang members while not all members of the same run are active.
+    pub(super) fn stall_incomplete_gangs(&mut self) {
         if self.hosts.is_none() {
             return;
         }
--- a/crates/borageswitch_scheduler/tests/support/world/orders.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation/orders.rs
@@ -1,4 +1,4 @@
-//! Orders reach executors, or do not, and their answers come back.
+//! Delivery of orders to executors and of their responses, with losses and delays.
 
 use borageswitch_scheduler::{
     effect::{Effect, Recipient},
@@ -7,10 +7,10 @@
 };
 use borageswitch_types::{Time, names::ExecutorName};
 
-use super::{CALL_TIMEOUT, Due, LONGEST_DELAY, RESET, World};
+use super::{CALL_TIMEOUT, Due, LONGEST_DELAY, RESET_TIME, Simulation};
 use crate::support::executor::Behaviour;
 
-impl World {
+impl Simulation {
     pub(super) fn deliver(&mut self) {
         let (now, later) =
             std::mem::take(&mut self.due).into_iter().partition(|(at, _)| *at <= self.now);
@@ -24,17 +24,17 @@
                         leader.handle(moment, event);
                     }
                 }
-                // What a life has kept back ends with it.
-                Due::Order { kept_by: Some(life), .. } if self.dead.contains(&life) => {}
+                // An order that is delayed at an incarnation is lost when the incarnation ends.
+                Due::Order { held_by: Some(id), .. } if self.dead.contains(&id) => {}
                 Due::Order { token, effect, answered, .. } => self.execute(token, effect, answered),
-                Due::Departure { host, executor, guards } => {
-                    self.depart(&host, executor.as_ref(), guards);
+                Due::HostRemoval { host, executor, enforces_capacity } => {
+                    self.remove_host(&host, executor.as_ref(), enforces_capacity);
                 }
             }
         }
     }
 
-    pub(super) fn answer_later(&mut self, token: u64, event: Event) {
+    pub(super) fn respond_later(&mut self, token: u64, event: Event) {
         let at = self.now + self.rng.u64(1..8);
         self.due.push((at, Due::Event { token, event }));
     }
@@ -42,18 +42,18 @@
     pub(super) fn is_reachable(&self, executor: &ExecutorName) -> bool {
         self.executors.contains_key(executor)
             && !self.dead.contains(executor)
-            && self.cut.get(executor).is_none_or(|end| *end <= self.now)
+            && self.partitioned_until.get(executor).is_none_or(|end| *end <= self.now)
     }
 
-    /// An order arrives.
+    /// Delivers an order to an executor and sends back its response.
     pub(super) fn execute(&mut self, token: u64, effect: Effect, answered: bool) {
         let sent = Time::from_millis(self.now.saturating_sub(8));
-        let to = self.addressee(&recipient(&effect).executor);
+        let to = self.current_incarnation(&recipient(&effect).executor);
         if !self.is_reachable(&to) {
             if answered {
-                // Cut off while the order was on its way: the call runs out of time.
-                let event = no_answer(&effect, sent);
-                let at = self.now + self.time_without_answer(&recipient(&effect).executor);
+                // The executor became unreachable after the order was sent: the call fails.
+                let event = no_response(&effect, sent);
+                let at = self.now + self.failure_delay(&recipient(&effect).executor);
                 self.due.push((at, Due::Event { token, event }));
             }
             return;
@@ -66,13 +66,13 @@
                 let clock_ms = Some(executor.clock(self.now));
                 if response == StartResponse::Started {
                     self.check_started(&to, &order.task);
-                    self.culprit_started(&to, &order, sent);
+                    self.poison_task_started(&to, &order, sent);
                 }
                 if answered {
                     let (task, run, executor) = (order.task, order.run, asked.executor);
                     let event =
                         Event::StartAnswered { executor, task, run, sent, clock_ms, response };
-                    self.answer_later(token, event);
+                    self.respond_later(token, event);
                 }
             }
             Effect::Stop(asked, task, run) => {
@@ -81,25 +81,25 @@
                 if answered {
                     let event =
                         Event::StopAnswered { executor: asked.executor, task, run, response };
-                    self.answer_later(token, event);
+                    self.respond_later(token, event);
                 }
             }
             Effect::Poll(asked, order) => {
                 let executor = self.executors.get_mut(&to).unwrap();
-                let report = executor.look(self.now, token, &order);
+                let report = executor.poll(self.now, token, &order);
                 let response =
                     if asked.executor == to { report } else { PollResponse::OtherIncarnation };
                 if answered {
                     let event = Event::Polled { executor: asked.executor, sent, order, response };
-                    self.answer_later(token, event);
+                    self.respond_later(token, event);
                 }
             }
             other => panic!("not an order to an executor: {other:?}"),
         }
     }
 
-    /// Calls that are on their way to an executor are cut short now.
-    pub(super) fn hurry_orders(&mut self, executor: &ExecutorName) {
+    /// Makes all calls in progress to an executor fail now.
+    pub(super) fn reset_calls(&mut self, executor: &ExecutorName) {
         let now = self.now;
         for (at, due) in &mut self.due {
             if let Due::Order { effect, answered: true, .. } = due
@@ -110,17 +110,17 @@
         }
     }
 
-    /// How long a call takes that gets no answer: where the host stands, the connection is reset.
-    fn time_without_answer(&self, executor: &ExecutorName) -> u64 {
-        if self.is_reset(executor) { RESET } else { CALL_TIMEOUT }
+    /// How long a call takes to fail: connections to a host that is still up are reset.
+    fn failure_delay(&self, executor: &ExecutorName) -> u64 {
+        if self.is_reset(executor) { RESET_TIME } else { CALL_TIMEOUT }
     }
 
     pub(super) fn behaviour(&self, task: &TaskKey) -> Behaviour {
         let step = &self.submissions[&task.job].spec.steps[usize::from(task.step)];
-        // One job in sixteen has a task that always fails.
+        // One job in sixteen has a task that always fails; job names are hexadecimal.
         let fails = task.index == 0
             && task.job.as_str().ends_with('0')
-            && !self.culprits.is_culprit(&task.job);
+            && !self.poison_tasks.is_poison(&task.job);
         Behaviour {
             size: step.size,
             lasting: step.lasting,
@@ -132,11 +132,11 @@
     pub(super) fn send(&mut self, token: u64, effect: Effect) {
         self.check_sent(&effect);
         let lost = self.chance(self.faults.lost_order);
-        let late = self.chance(self.faults.late_order);
-        let silent = self.chance(self.faults.lost_answer) || lost || late;
-        let to = self.addressee(&recipient(&effect).executor);
+        let late = self.chance(self.faults.delayed_order);
+        let silent = self.chance(self.faults.lost_response) || lost || late;
+        let to = self.current_incarnation(&recipient(&effect).executor);
         let silent = silent || !self.is_reachable(&to);
-        // A look waits on the executor's side until something ends.
+        // An executor holds a poll with a wait until a run ends; 100 ms stand for that.
         let wait = match &effect {
             Effect::Poll(_, order) if !order.wait.is_zero() => 100,
             _ => 0,
@@ -144,14 +144,14 @@
         let delay =
             if late { self.rng.u64(2_000..LONGEST_DELAY) } else { self.rng.u64(1..8) + wait };
         if silent {
-            let event = no_answer(&effect, Time::from_millis(self.now));
-            let at = self.now + self.time_without_answer(&recipient(&effect).executor);
+            let event = no_response(&effect, Time::from_millis(self.now));
+            let at = self.now + self.failure_delay(&recipient(&effect).executor);
             self.due.push((at, Due::Event { token, event }));
         }
         if !lost {
             let at = self.now + delay;
-            let kept_by = late.then_some(to);
-            self.due.push((at, Due::Order { token, effect, answered: !silent, kept_by }));
+            let held_by = late.then_some(to);
+            self.due.push((at, Due::Order { token, effect, answered: !silent, held_by }));
         }
     }
 }
@@ -163,7 +163,7 @@
     }
 }
 
-fn no_answer(effect: &Effect, sent: Time) -> Event {
+fn no_response(effect: &Effect, sent: Time) -> Event {
     match effect.clone() {
         Effect::Start(to, order) => Event::StartAnswered {
             executor: to.executor,
