--- a/benches/src/scheduler.rs
+++ b/benches/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! What the leader of a site's jobs costs in a rush, by hosts.
+//! Processor time of the scheduler during load peaks, by the number of hosts and callers.
 //!
-//! One queue after the other has its turn while the others rest, tasks last a second and hosts move
-//! to where the work is. Executors and store answer in virtual time; what is timed on this machine
-//! is the scheduler alone.
+//! Each queue has one load peak while the others are idle. Tasks take one second, and hosts move to
+//! the pool with the load. Executors and the store respond in virtual time; only the time that the
+//! scheduler takes on this machine is measured.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -33,38 +33,39 @@
 use fastrand::Rng;
 use serde_json::{Value, json};
 
-/// Hosts of the sites that are timed; the second is the larger of today's.
+/// The numbers of hosts that are measured; the second is that of the larger current site.
 const SIZES: [u64; 3] = [49, 349, 698];
-/// How many callers there are, with quotas that never bind, at the size of today's larger site.
+/// The numbers of callers that are measured, at the size of the larger current site. Their quotas
+/// are never reached.
 const CALLERS: [u64; 2] = [20, 5_000];
 const HOSTS_WITH_CALLERS: u64 = 349;
 const POOLS: u64 = 4;
-/// One turn of a queue, and the time that is simulated: each queue has one.
-const TURN: u64 = 8_000;
-const WHOLE: u64 = TURN * POOLS;
-/// One step of the simulation, in milliseconds.
-const STEP: u64 = 5;
-/// How long an append, a call to an executor and a move of a host take.
-const APPEND: u64 = 10;
-const CALL: u64 = 5;
-const MOVE: u64 = 1_500;
-/// Tasks a job, and how long each takes.
-const TASKS: u32 = 10;
-const TASK: u64 = 1_000;
-/// In its turn a queue asks for this part of all hosts, as its jobs come.
-const PART_OF_HOSTS: f64 = 0.4;
+/// The duration of the load peak of one queue. The whole simulation has one for each queue.
+const PEAK_MS: u64 = 8_000;
+const TOTAL_MS: u64 = PEAK_MS * POOLS;
+/// The duration of one step of the simulation.
+const STEP_MS: u64 = 5;
+/// The durations of an append, of a call to an executor or the platform, and of a move of a host.
+const APPEND_MS: u64 = 10;
+const CALL_MS: u64 = 5;
+const HOST_MOVE_MS: u64 = 1_500;
+/// The number of tasks per job, and the duration of each.
+const TASKS_PER_JOB: u32 = 10;
+const TASK_MS: u64 = 1_000;
+/// The load of a queue at its peak, as a fraction of the capacity of all hosts.
+const PEAK_LOAD: f64 = 0.4;
 const HOST_CORES: u64 = 32;
 const TASK_CORES: u64 = 2;
 
-/// Runs all of it and gives the figures.
+/// Runs all measurements and returns their results.
 pub(crate) fn run() -> Value {
-    let sizes = SIZES.map(|hosts| figures(hosts, 0));
-    let callers = CALLERS.map(|callers| figures(HOSTS_WITH_CALLERS, callers));
+    let sizes = SIZES.map(|hosts| measure(hosts, 0));
+    let callers = CALLERS.map(|callers| measure(HOSTS_WITH_CALLERS, callers));
     json!({ "sizes": sizes, "callers": callers })
 }
 
-fn figures(hosts: u64, callers: u64) -> Value {
-    let site = play(hosts, callers);
+fn measure(hosts: u64, callers: u64) -> Value {
+    let site = simulate(hosts, callers);
     let rounded = |figure: f64| (figure * 100.0).round() / 100.0;
     json!({
         "hosts": hosts,
@@ -72,26 +73,26 @@
         "jobs": site.submitted,
         "jobs_ended": site.ended,
         "decisions": site.decisions,
-        "core_percent": rounded(site.share()),
-        "longest_decision_ms": rounded(site.longest.as_secs_f64() * 1_000.0),
+        "core_percent": rounded(site.core_percent()),
+        "longest_decision_ms": rounded(site.longest_decision.as_secs_f64() * 1_000.0),
     })
 }
 
-fn play(hosts: u64, callers: u64) -> Site {
+fn simulate(hosts: u64, callers: u64) -> Site {
     let mut site = Site::new(hosts, callers);
-    while site.now < WHOLE {
+    while site.now < TOTAL_MS {
         site.step();
     }
     site
 }
 
-/// An executor.
-struct Sim {
+/// A simulated executor.
+struct SimExecutor {
     active: BTreeMap<TaskKey, (u32, u64)>,
     ended: VecDeque<EndedRun>,
-    count: u64,
-    /// A look that waits, and until when.
-    look: Option<(PollOrder, u64)>,
+    last_end_number: u64,
+    /// A poll that waits for a run to end, and when its wait is over.
+    waiting_poll: Option<(PollOrder, u64)>,
 }
 
 struct Site {
@@ -99,17 +100,17 @@
     rng: Rng,
     now: u64,
     scheduler: Scheduler,
-    executors: BTreeMap<ExecutorName, Sim>,
+    executors: BTreeMap<ExecutorName, SimExecutor>,
     hosts: BTreeMap<HostName, HostEntry>,
-    returning: Vec<(u64, HostName)>,
+    moving: Vec<(u64, HostName)>,
     due: VecDeque<(u64, Event)>,
-    lives: u64,
-    owed: f64,
+    executors_started: u64,
+    due_jobs: f64,
     submitted: u64,
     ended: usize,
     decisions: u64,
-    spent: Duration,
-    longest: Duration,
+    scheduler_time: Duration,
+    longest_decision: Duration,
 }
 
 impl Site {
@@ -125,15 +126,15 @@
             scheduler,
             executors: BTreeMap::new(),
             hosts: BTreeMap::new(),
-            returning: Vec::new(),
+            moving: Vec::new(),
             due: VecDeque::new(),
-            lives: 0,
-            owed: 0.0,
+            executors_started: 0,
+            due_jobs: 0.0,
             submitted: 0,
             ended: 0,
             decisions: 0,
-            spent: Duration::ZERO,
-            longest: Duration::ZERO,
+            scheduler_time: Duration::ZERO,
+            longest_decision: Duration::ZERO,
         };
         for number in 0..hosts {
             let host = HostName::from(format!("h{number:05}"));
@@ -152,9 +153,9 @@
         site
     }
 
-    /// How much of a core the scheduler took, in percent.
-    fn share(&self) -> f64 {
-        self.spent.as_secs_f64() * 100.0 / (WHOLE as f64 / 1_000.0)
+    /// The load that the scheduler causes, in percent of a core.
+    fn core_percent(&self) -> f64 {
+        self.scheduler_time.as_secs_f64() * 100.0 / (TOTAL_MS as f64 / 1_000.0)
     }
 
     fn moment(&self) -> Now {
@@ -162,8 +163,8 @@
     }
 
     fn start_executor(&mut self, host: &HostName) {
-        self.lives += 1;
-        let executor = ExecutorName::from(format!("i{:07}", self.lives));
+        self.executors_started += 1;
+        let executor = ExecutorName::from(format!("i{:07}", self.executors_started));
         let entry = self.hosts.get_mut(host).expect("the host is listed");
         entry.executor = Some(executor.clone());
         entry.state = HostState::Up;
@@ -177,7 +178,12 @@
             capacity: entry.capacity,
             labels: entry.labels.clone(),
         };
-        let sim = Sim { active: BTreeMap::new(), ended: VecDeque::new(), count: 0, look: None };
+        let sim = SimExecutor {
+            active: BTreeMap::new(),
+            ended: VecDeque::new(),
+            last_end_number: 0,
+            waiting_poll: None,
+        };
         self.executors.insert(executor, sim);
         self.due.push_back((
             self.now,
@@ -186,10 +192,10 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        self.bring_hosts_back();
-        self.hand_in();
-        self.work();
+        self.now += STEP_MS;
+        self.restart_moved_hosts();
+        self.submit_jobs();
+        self.run_tasks();
         let mut events = vec![Event::Tick];
         let due = std::mem::take(&mut self.due);
         for (at, event) in due {
@@ -205,31 +211,31 @@
         }
         let effects = self.scheduler.settle(moment);
         let took = began.elapsed();
-        self.spent += took;
-        self.longest = self.longest.max(took);
+        self.scheduler_time += took;
+        self.longest_decision = self.longest_decision.max(took);
         self.decisions += 1;
         for effect in effects {
             self.carry_out(effect);
         }
     }
 
-    fn hand_in(&mut self) {
-        let turn = (self.now / TURN) % POOLS;
-        let cores = self.hosts.len() as f64 * HOST_CORES as f64 * PART_OF_HOSTS;
-        let job = f64::from(TASKS) * TASK_CORES as f64 * TASK as f64 / 1_000.0;
-        self.owed += cores / job * STEP as f64 / 1_000.0;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
+    fn submit_jobs(&mut self) {
+        let active_queue = (self.now / PEAK_MS) % POOLS;
+        let cores = self.hosts.len() as f64 * HOST_CORES as f64 * PEAK_LOAD;
+        let job = f64::from(TASKS_PER_JOB) * TASK_CORES as f64 * TASK_MS as f64 / 1_000.0;
+        self.due_jobs += cores / job * STEP_MS as f64 / 1_000.0;
+        while self.due_jobs >= 1.0 {
+            self.due_jobs -= 1.0;
             self.submitted += 1;
             let step = Step {
-                count: TASKS,
-                size: cores_of_task(),
-                estimate: Duration::from_millis(TASK),
+                count: TASKS_PER_JOB,
+                size: task_size(),
+                estimate: Duration::from_millis(TASK_MS),
                 ..Step::default()
             };
             let submission = Submission {
                 job: JobName::from(format!("{:016x}", self.rng.u64(..))),
-                queue: queue(turn),
+                queue: queue(active_queue),
                 accepted: UnixMillis(self.now),
                 spec: JobSpec { text: "text".into(), steps: vec![step], schedule: None },
                 caller: (self.callers > 0).then(|| caller(self.rng.u64(..self.callers)).name),
@@ -238,8 +244,8 @@
         }
     }
 
-    /// Tasks end, and looks that wait are answered.
-    fn work(&mut self) {
+    /// Ends tasks that are complete and responds to waiting polls.
+    fn run_tasks(&mut self) {
         let now = self.now;
         let mut answers = Vec::new();
         for (name, sim) in &mut self.executors {
@@ -251,8 +257,8 @@
                 .collect();
             for task in over {
                 let (run, _) = sim.active.remove(&task).expect("it was active");
-                sim.count += 1;
-                let number = sim.count;
+                sim.last_end_number += 1;
+                let number = sim.last_end_number;
                 sim.ended.push_back(EndedRun {
                     number,
                     task,
@@ -262,17 +268,17 @@
                 });
             }
             let due = |(_, until): &(PollOrder, u64)| *until <= now || !sim.ended.is_empty();
-            if let Some((order, _)) = sim.look.filter(due) {
-                sim.look = None;
+            if let Some((order, _)) = sim.waiting_poll.filter(due) {
+                sim.waiting_poll = None;
                 answers.push((name.clone(), order));
             }
         }
         for (name, order) in answers {
-            self.answer_look(&name, order);
+            self.respond_to_poll(&name, order);
         }
     }
 
-    fn answer_look(&mut self, executor: &ExecutorName, order: PollOrder) {
+    fn respond_to_poll(&mut self, executor: &ExecutorName, order: PollOrder) {
         let response = match self.executors.get_mut(executor) {
             None => PollResponse::OtherIncarnation,
             Some(sim) => {
@@ -281,7 +287,7 @@
                     task: task.clone(),
                     run: *run,
                     checkpoint: None,
-                    percent: (100 - until.saturating_sub(self.now) * 100 / TASK.max(1)).min(99)
+                    percent: (100 - until.saturating_sub(self.now) * 100 / TASK_MS.max(1)).min(99)
                         as u8,
                     recent: 0,
                 });
@@ -294,16 +300,16 @@
         };
         let sent = Time::from_millis(self.now);
         let event = Event::Polled { executor: executor.clone(), sent, order, response };
-        self.due.push_back((self.now + CALL, event));
+        self.due.push_back((self.now + CALL_MS, event));
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Append { append, .. } => {
-                self.due.push_back((self.now + APPEND, Event::Appended { append }));
+                self.due.push_back((self.now + APPEND_MS, Event::Appended { append }));
             }
             Effect::Start(to, order) => {
-                let until = self.now + CALL + TASK;
+                let until = self.now + CALL_MS + TASK_MS;
                 let response = match self.executors.get_mut(&to.executor) {
                     Some(sim) => {
                         sim.active.insert(order.task.clone(), (order.run, until));
@@ -319,22 +325,22 @@
                     clock_ms: Some(self.now),
                     response,
                 };
-                self.due.push_back((self.now + CALL, event));
+                self.due.push_back((self.now + CALL_MS, event));
             }
             Effect::Stop(to, task, run) => self.stop(to, task, run),
             Effect::Poll(to, order) if order.wait.is_zero() => {
-                self.answer_look(&to.executor, order);
+                self.respond_to_poll(&to.executor, order);
             }
             Effect::Poll(to, order) => {
                 let until = self.now + order.wait.as_millis() as u64;
                 match self.executors.get_mut(&to.executor) {
-                    Some(sim) => sim.look = Some((order, until)),
-                    None => self.answer_look(&to.executor, order),
+                    Some(sim) => sim.waiting_poll = Some((order, until)),
+                    None => self.respond_to_poll(&to.executor, order),
                 }
             }
             Effect::ListHosts => {
                 let hosts = self.hosts.values().cloned().collect();
-                self.due.push_back((self.now + CALL, Event::HostsListed(Some(hosts))));
+                self.due.push_back((self.now + CALL_MS, Event::HostsListed(Some(hosts))));
             }
             Effect::OrderHost(host, order) => self.order_host(host, order),
             Effect::Log(line) => self.ended += usize::from(line.kind == "job-ended"),
@@ -351,8 +357,8 @@
         if let Some(sim) = self.executors.get_mut(&to.executor)
             && sim.active.remove(&task).is_some()
         {
-            sim.count += 1;
-            let number = sim.count;
+            sim.last_end_number += 1;
+            let number = sim.last_end_number;
             let how = EndKind::Stopped;
             sim.ended.push_back(EndedRun {
                 number,
@@ -364,7 +370,7 @@
         }
         let response = OrderResponse::Done;
         let event = Event::StopAnswered { executor: to.executor, task, run, response };
-        self.due.push_back((self.now + CALL, event));
+        self.due.push_back((self.now + CALL_MS, event));
     }
 
     fn order_host(&mut self, host: HostName, order: HostOrder) {
@@ -376,19 +382,19 @@
         if let Some(executor) = entry.executor.take() {
             self.executors.remove(&executor);
             self.due.push_back((
-                self.now + CALL,
+                self.now + CALL_MS,
                 Event::RegistrationChanged(RegistrationChange::Unregistered(executor)),
             ));
         }
-        self.returning.push((self.now + MOVE, host.clone()));
+        self.moving.push((self.now + HOST_MOVE_MS, host.clone()));
         let response = HostOrderResponse::Done;
-        self.due.push_back((self.now + CALL, Event::HostOrderAnswered { host, response }));
+        self.due.push_back((self.now + CALL_MS, Event::HostOrderAnswered { host, response }));
     }
 
-    fn bring_hosts_back(&mut self) {
+    fn restart_moved_hosts(&mut self) {
         let now = self.now;
         let back: Vec<HostName> =
-            self.returning.extract_if(.., |(at, _)| *at <= now).map(|(_, host)| host).collect();
+            self.moving.extract_if(.., |(at, _)| *at <= now).map(|(_, host)| host).collect();
         for host in back {
             match self.hosts[&host].pool.as_str() {
                 "off" => self.hosts.get_mut(&host).expect("listed").state = HostState::Up,
@@ -402,7 +408,7 @@
     Size { cpu_milli: cores * 1_000, memory_mb: cores * 2_000, accelerators: 0 }
 }
 
-fn cores_of_task() -> Size {
+fn task_size() -> Size {
     cores(TASK_CORES)
 }
 
@@ -429,7 +435,7 @@
     }
 }
 
-/// A caller whose quota and share are far above what it sends.
+/// A caller whose quota and share are far above its load.
 fn caller(number: u64) -> Caller {
     let name = CallerName::from(format!("caller-{number}"));
     Caller { name, weight: 1_000.0, quota: cores(1_000_000) }
--- a/crates/borageswitch_scheduler/tests/advice.rs
+++ b/crates/borageswitch_scheduler/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Steps that may run only where an advisor permits it.
+//! Steps that may run only on executors that an advisor permits.
 
 mod support;
 
@@ -17,7 +17,7 @@
     session::{Session, active, key, lasting, step, stops},
 };
 
-/// What one call may ask about at the most.
+/// The largest number of executors in one request to the advisor.
 const MAX_CANDIDATES: usize = 100;
 
 fn advised_queue() -> Queue {
@@ -38,8 +38,8 @@
     Session::with_config(&executors, Ledger::default(), config_with(advised_queue(), true))
 }
 
-/// Lets the session go on for a second, with an advisor that permits these executors only. Gives
-/// where tasks were started, and with which tickets.
+/// Runs the session for a second with an advisor that permits only the given executors. Returns the
+/// executors and tickets of all starts.
 fn run_with_advisor(
     session: &mut Session,
     allowed: &[&str],
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_task_starts_only_where_it_is_permitted_and_shows_its_ticket() {
+fn a_task_starts_only_where_it_is_permitted_and_carries_its_ticket() {
     let executors = names(3);
     let mut session = session(&executors);
     session.submit("j", vec![step(2)]);
@@ -77,11 +77,11 @@
     assert_eq!(started, [expected.clone(), expected]);
 }
 
-/// A pool has more hosts than one call asks about. A step may have one task on a host, and its
-/// first task has taken the only permitted host among those that were asked about. Without asking
-/// about the others the second task would wait for ever beside an empty host that may run it.
+/// A pool has more hosts than fit into one request. A step may have one task on a host, and its
+/// first task uses the only permitted host of the first request. Without a request for the others
+/// the second task would wait forever beside a permitted empty host.
 #[test]
-fn hosts_that_were_not_asked_about_are_when_the_permitted_ones_are_used_up() {
+fn further_hosts_are_requested_when_the_permitted_ones_are_used_up() {
     let executors = names(45);
     let mut session = session(&executors);
     session.submit("j", vec![Step { max_per_host: Some(1), ..step(2) }]);
@@ -92,10 +92,10 @@
     assert_eq!(at.len(), 2, "{started:?}");
 }
 
-/// The members of a gang need a host each, and only one permitted host has been found so far.
-/// Content with that one, the scheduler would never place the gang.
+/// Each member of a gang needs its own host, and the first request yields only one permitted host.
+/// Without further requests the gang would never be placed.
 #[test]
-fn a_gang_is_asked_for_until_all_its_members_have_a_host() {
+fn advice_is_requested_until_all_members_of_a_gang_have_a_host() {
     let executors = names(45);
     let mut session = session(&executors);
     let gang = Step { gang: true, max_per_host: Some(1), ..step(2) };
@@ -106,11 +106,11 @@
     assert_eq!(started.len(), 2, "{started:?}");
 }
 
-/// All hosts are full of short work when a lasting task comes that may run on one of them only.
-/// Making room on another one would throw away the work of some caller, again and again, and help
-/// nobody.
+/// All hosts are full of short tasks when a lasting task arrives that has no permission for any of
+/// them yet. Evictions from a host where it may not run would repeatedly waste the work of other
+/// callers.
 #[test]
-fn no_room_is_made_where_a_lasting_task_may_not_run() {
+fn nothing_is_evicted_from_hosts_where_a_lasting_task_may_not_run() {
     let executors = names(2);
     let mut session = session(&executors);
     session.submit("j", vec![Step { size: cores(8), ..step(2) }]);
--- a/crates/borageswitch_scheduler/tests/crashes.rs
+++ b/crates/borageswitch_scheduler/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Executors that crash, and what is made of it.
+//! Detection and logging of crashes of executors.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::session::{Session, host, registration, step};
 
-/// Every line of the next decision, `millis` later.
+/// Advances the time by `millis` and returns the log lines of the next decision.
 fn lines(session: &mut Session, millis: u64) -> Vec<LogLine> {
     session.now += millis;
     let moment = session.moment();
@@ -37,7 +37,7 @@
     HostEntry { state: HostState::Down, executor: None, ..host }
 }
 
-/// Two executors with a task each, on hosts that are listed.
+/// Two executors with eight tasks each, on hosts that are listed.
 fn busy_pair() -> Session {
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("j", vec![step(16)]);
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_crash_is_told_with_the_tasks_that_ran_there() {
-    // An operator who finds host after host down has to see which task was on each of them.
+fn a_crash_is_logged_with_the_tasks_of_the_executor() {
+    // An operator who finds several hosts down needs to see which task ran on each of them.
     let mut session = busy_pair();
     session.poll_answered("e1", PollResponse::Lost, 0);
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn executors_that_go_together_are_told_as_such() {
+fn simultaneous_crashes_are_logged_as_such() {
     let mut session = busy_pair();
 
     let logged = listed(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn an_executor_that_leaves_or_is_ordered_away_has_not_crashed() {
-    // Maintenance, a move, a drain and the removal of a host end executors as planned. Told as
-    // crashes, they would put blame on whatever ran there.
+fn a_planned_end_of_an_executor_is_not_a_crash() {
+    // Maintenance, a move, a drain and the removal of a host end executors as planned. If these
+    // counted as crashes, they would be attributed to the tasks that ran there.
     let entry = host("h1", "e1");
     let ends = [
         HostEntry { state: HostState::Moving, executor: None, ..entry.clone() },
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn a_crash_that_shows_only_by_its_lease_is_told_as_well() {
-    // The platform's list of hosts is away: that an executor has gone shows by its registration
-    // and its lease alone.
+fn a_crash_that_is_detected_only_by_the_lease_is_logged() {
+    // Without the platform's list of hosts, only the registration and the lease show that an
+    // executor has ended.
     let mut session = busy_pair();
     session.handle(Event::RegistrationChanged(RegistrationChange::Unregistered("e1".into())));
 
--- a/crates/borageswitch_scheduler/tests/failed_starts.rs
+++ b/crates/borageswitch_scheduler/tests/failed_starts.rs
@@ -1,4 +1,4 @@
-//! Starts that come to nothing are not repeated without a bound.
+//! Repetition of failed starts is limited.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use borageswitch_types::Time;
 use support::session::{Session, step};
 
-/// For how long starts are answered, in milliseconds.
+/// The duration of each test, in milliseconds.
 const TEST_DURATION: u64 = 10_000;
-/// How many starts of one task that is for ten seconds at the most: two at once, five with growing
-/// pauses, and one a second.
+/// The most starts of one task in ten seconds: two at once, five with growing pauses, and one a
+/// second.
 const MAX_STARTS: usize = 2 + 5 + 10;
 
-/// How often the tasks of a job are started while each start is answered like this.
+/// Counts the starts of the tasks of a job while each start gets the given response.
 fn count_starts(response: StartResponse, steps: Vec<Step>) -> usize {
     let mut session = Session::new(&["e1", "e2", "e3"]);
     session.submit("j", steps);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_start_that_every_executor_refuses_is_repeated_with_pauses() {
-    // Guards against one order that nobody can carry out and that fills the store and all executors.
-    let refusals = [
+fn a_start_that_every_executor_rejects_is_repeated_with_pauses() {
+    // Without pauses one impossible order would overload the store and all executors.
+    let rejections = [
         StartResponse::Malformed,
         StartResponse::Outdated,
         StartResponse::Late,
@@ -63,15 +63,15 @@
         StartResponse::NotSent,
         StartResponse::Lost,
     ];
-    for refusal in refusals {
-        let starts = count_starts(refusal, vec![step(1)]);
+    for rejection in rejections {
+        let starts = count_starts(rejection, vec![step(1)]);
 
-        assert!((2..=MAX_STARTS).contains(&starts), "{refusal}: {starts} starts");
+        assert!((2..=MAX_STARTS).contains(&starts), "{rejection}: {starts} starts");
     }
 }
 
 #[test]
-fn a_gang_that_is_refused_is_repeated_with_pauses() {
+fn a_rejected_gang_is_repeated_with_pauses() {
     let gang = Step { gang: true, ..step(3) };
 
     let starts = count_starts(StartResponse::Outdated, vec![gang]);
--- a/crates/borageswitch_scheduler/tests/host_orders.rs
+++ b/crates/borageswitch_scheduler/tests/host_orders.rs
@@ -1,4 +1,4 @@
-//! Orders for hosts whose answers are lost.
+//! Orders for hosts that get no response or are rejected.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use borageswitch_types::names::HostName;
 use support::session::{Session, active, host, key, registration, step};
 
-/// Lists one host with this executor whenever the hosts are asked for, and stores every append.
+/// Advances the session by 200 ms: each list of hosts has one host with this executor, and all
+/// appends are stored.
 fn advance(session: &mut Session, executor: &str) -> Vec<Effect> {
     let mut all = Vec::new();
     for _ in 0..4 {
@@ -37,11 +38,11 @@
 }
 
 #[test]
-fn a_host_that_was_maintained_unheard_keeps_what_it_has_begun_since() {
-    // A host is maintained, and the answer to the order is lost. The host is back under a new
-    // executor, which gets a task, when the order is given once more and the platform says that it
-    // is done already. If that is taken for the end of the new executor, its task is started a
-    // second time while the first run goes on, and a cleaner is paid twice.
+fn a_repeated_maintenance_order_does_not_end_runs_of_the_new_executor() {
+    // A host is maintained, and the response to the order is lost. The host comes back with a new
+    // executor, which gets a task. Then the order is repeated, and the platform responds that it is
+    // already done. If this were taken for the end of the new executor, its task would be started
+    // again while the first run continues, and its effects, such as a payment, would occur twice.
     let mut session = Session::new(&["old"]);
     let request = WaveRequest {
         wave: 1,
@@ -72,8 +73,8 @@
     assert_eq!(runs, [&key("j", 0)], "{effects:?}");
 }
 
-/// Asks for the maintenance of the only host, and gives how many orders for it leave in that time
-/// while each gets this answer.
+/// Requests maintenance of the only host, and counts the orders for it while each gets the given
+/// response.
 fn count_orders(with: HostOrderResponse, millis: u64) -> usize {
     let mut session = Session::new(&["e"]);
     let request = WaveRequest {
@@ -97,13 +98,14 @@
 }
 
 #[test]
-fn an_order_for_a_host_that_comes_to_nothing_is_repeated_with_growing_pauses() {
-    // Guards against orders for hosts that use up what the platform takes from all daemons, for as
-    // long as one host is stuck.
-    for refusal in [HostOrderResponse::Lost, HostOrderResponse::TooMany, HostOrderResponse::Busy] {
-        let orders = count_orders(refusal, 60_000);
+fn a_failed_order_for_a_host_is_repeated_with_growing_pauses() {
+    // While one host is stuck, repeated orders must not exhaust the rate limit that the platform
+    // applies to all daemons together.
+    for rejection in [HostOrderResponse::Lost, HostOrderResponse::TooMany, HostOrderResponse::Busy]
+    {
+        let orders = count_orders(rejection, 60_000);
 
-        // Six pauses until the longest, then one every four seconds and the time of a pass.
-        assert!((10..=6 + 15).contains(&orders), "{refusal}: {orders} orders in a minute");
+        // Six growing pauses, then one order every four seconds plus the duration of a step.
+        assert!((10..=6 + 15).contains(&orders), "{rejection}: {orders} orders in a minute");
     }
 }
--- a/crates/borageswitch_scheduler/tests/hosts.rs
+++ b/crates/borageswitch_scheduler/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! How many hosts a pool gets, and when.
+//! Requests of pools for hosts that are switched off.
 
 mod support;
 
@@ -18,21 +18,21 @@
     session::{Session, host, lasting, step},
 };
 
-/// How many hosts are off at first.
+/// The number of hosts, all switched off at first.
 const HOSTS: usize = 12;
 
-fn config_with_hosts_off() -> Arc<Config> {
+fn config_with_standby_pool() -> Arc<Config> {
     let mut config = Config::clone(&config(true));
     let off = PoolName::from("off");
     config.pools.insert(off.clone(), Pool { name: off, enforces_capacity: true, standby: true });
     Arc::new(config)
 }
 
-fn host_off(number: usize) -> HostEntry {
+fn standby_host(number: usize) -> HostEntry {
     HostEntry { pool: PoolName::from("off"), executor: None, ..host(&format!("h{number}"), "none") }
 }
 
-/// A site whose hosts are off, and stay away once they were ordered to move.
+/// A site whose hosts are switched off, and stay in the moving state after an order to move.
 struct Site {
     session: Session,
     hosts: Vec<HostEntry>,
@@ -42,10 +42,10 @@
 impl Site {
     fn new(config: Arc<Config>) -> Self {
         let session = Session::with_config(&[], Ledger::default(), config);
-        Self { session, hosts: (0..HOSTS).map(host_off).collect(), ordered: 0 }
+        Self { session, hosts: (0..HOSTS).map(standby_host).collect(), ordered: 0 }
     }
 
-    /// Lets so many milliseconds pass.
+    /// Runs the site for a number of milliseconds.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             for effect in self.session.advance(50) {
@@ -73,12 +73,11 @@
 }
 
 #[test]
-fn hosts_that_are_on_their_way_count_for_the_lasting_tasks_that_wait_for_them() {
-    // Four lasting tasks find their pool empty, and four hosts are sent for, which take a second
-    // and a half. The platform lists them in their new pool as soon as they move. Taken for hosts
-    // without room, they would be sent for again with each list, and the whole site would be
-    // switched on for four tasks.
-    let mut site = Site::new(config_with_hosts_off());
+fn moving_hosts_count_for_the_lasting_tasks_that_wait_for_them() {
+    // The pool of four lasting tasks is empty, and four hosts are moved into it, which takes 1.5 s.
+    // The platform lists them in their new pool as soon as they move. If they counted as hosts
+    // without free capacity, each list would cause further moves until all hosts are switched on.
+    let mut site = Site::new(config_with_standby_pool());
     site.run(3_000);
     site.session.submit("j", vec![lasting(4)]);
 
@@ -88,17 +87,17 @@
 }
 
 #[test]
-fn tasks_that_find_no_host_take_nothing_from_what_their_caller_may_start_elsewhere() {
-    // A caller may use four cores. Ten of its tasks wait for a label that no host has, and two that
-    // any host could run wait for one to be switched on. If all that the caller may start were kept
-    // for the ten, none would be, and its second job would wait beside hosts that are off.
-    let mut config = Config::clone(&config_with_hosts_off());
+fn tasks_without_a_matching_host_do_not_use_up_the_quota_of_their_caller() {
+    // A caller has a quota of four cores. Ten of its tasks wait for a label that no host has, and two
+    // that any host could run wait for a host to be switched on. If the quota were reserved for the
+    // ten, no host would be switched on for the two.
+    let mut config = Config::clone(&config_with_standby_pool());
     let name = CallerName::from("nosipho");
     let caller = Caller { name: name.clone(), weight: 10.0, quota: cores(4) };
     config.callers.insert(name, caller);
     let mut site = Site::new(Arc::new(config));
     site.run(3_000);
-    // By their estimates they are no work, so that arrivals alone send for no host.
+    // The estimates are zero, so that the arrival rate alone requests no host.
     let any = Step { estimate: Duration::ZERO, ..step(2) };
     let labelled = Step { label: Some("x".into()), count: 10, ..any.clone() };
     site.session.submit_as("nosipho", "a", vec![labelled]);
@@ -106,5 +105,5 @@
 
     site.run(1_000);
 
-    assert!(site.ordered >= 1, "no host was sent for");
+    assert!(site.ordered >= 1, "no host was requested");
 }
--- a/crates/borageswitch_scheduler/tests/quotas.rs
+++ b/crates/borageswitch_scheduler/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Callers are held to what their tasks may use at once.
+//! Quotas: limits for the resources that the tasks of a caller use at once.
 
 mod support;
 
@@ -21,7 +21,7 @@
 
 const CALLER: &str = "nosipho";
 
-/// A configuration with a caller that may use so many cores.
+/// A configuration with a caller that has a quota in cores.
 fn config_with_quota(version: u64, quota: u64) -> Arc<Config> {
     let mut config = Config::clone(&config(true));
     let name = CallerName::from(CALLER);
@@ -34,7 +34,7 @@
     Session::with_config(executors, ledger, config_with_quota(1, quota))
 }
 
-/// Stores what is on its way until nothing more is ordered; gives how many tasks were.
+/// Stores appends and starts runs until no more are ordered, and returns the number of runs.
 fn start_all(session: &mut Session) -> usize {
     let mut started = 0;
     let mut idle = 0;
@@ -56,8 +56,8 @@
 
 #[test]
 fn a_caller_gets_its_quota_and_the_others_the_rest() {
-    // One caller hands in forty tasks at once and another hands in eight a moment later. Served as
-    // they come, the eight would wait until the forty are done.
+    // One caller submits forty tasks at once and another submits eight a moment later. In the order
+    // of arrival the eight would wait until the forty are done.
     let mut session = session_with_quota(&["e1", "e2"], Ledger::default(), 6);
     session.submit_as(CALLER, "flood", vec![step(40)]);
     session.submit_as("thandi", "few", vec![step(8)]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_ends_makes_room_for_what_waits() {
+fn an_ended_task_lets_a_waiting_one_start() {
     let mut session = session_with_quota(&["e1"], Ledger::default(), 2);
     session.submit_as(CALLER, "j", vec![step(3)]);
     assert_eq!(start_all(&mut session), 2);
@@ -80,8 +80,8 @@
 
 #[test]
 fn a_lowered_quota_stops_nothing_and_starts_nothing() {
-    // An operator lowers a quota while its caller uses all of it. What runs goes on, what waits is
-    // kept, and starts again once less runs than the new quota allows.
+    // An operator lowers a quota while its caller uses all of it. Active runs continue, and waiting
+    // tasks start once the runs use less than the new quota.
     let mut session = session_with_quota(&["e1"], Ledger::default(), 4);
     session.submit_as(CALLER, "j", vec![step(6)]);
     assert_eq!(start_all(&mut session), 4);
@@ -100,9 +100,10 @@
 }
 
 #[test]
-fn the_task_that_goes_over_the_quota_leaves_alone() {
-    // Tasks of three cores, and five cores are allowed. Ordered together with the first, the second
-    // could arrive before it and find the caller at what it may use.
+fn a_task_that_exceeds_the_quota_is_ordered_alone() {
+    // The tasks need three cores each, and the quota is five cores. A task that exceeds the quota is
+    // ordered only after the others have started. If it arrived before them, they would start
+    // although the quota is already used up.
     let mut session = session_with_quota(&["e1"], Ledger::default(), 5);
     let large = Step { size: cores(3), ..step(4) };
     session.submit_as(CALLER, "j", vec![large]);
@@ -115,9 +116,9 @@
 
 #[test]
 fn runs_of_a_cancelled_job_count_for_the_next_leader() {
-    // A job is cancelled, and its leader dies before the orders to stop its tasks have arrived. The
-    // job is forgotten with its end. If its runs were too, the next leader would give their caller
-    // its whole quota once more.
+    // A job is cancelled, and its leader crashes before the orders to stop its tasks arrive. The job
+    // is deleted when it ends. If its runs were forgotten as well, the next leader would grant the
+    // caller its whole quota again.
     let mut session = session_with_quota(&["e1"], Ledger::default(), 4);
     session.submit_as(CALLER, "old", vec![step(4)]);
     assert_eq!(start_all(&mut session), 4);
@@ -141,8 +142,8 @@
 
 #[test]
 fn a_gang_starts_within_its_quota_or_not_at_all() {
-    // Three tasks that work only together wait beside single ones of the same caller. Started in
-    // part, they would hold their room without working.
+    // A gang of three waits beside single tasks of the same caller. If only some members started,
+    // they would occupy capacity without progress.
     let mut session = session_with_quota(&["e1"], Ledger::default(), 4);
     session.submit_as(CALLER, "single", vec![step(2)]);
     assert_eq!(start_all(&mut session), 2);
@@ -156,8 +157,8 @@
 }
 
 #[test]
-fn an_operator_is_told_that_a_job_waits_for_its_callers_quota() {
-    // A caller complains that its job does not start although hosts stand idle.
+fn explain_shows_that_a_job_waits_for_the_quota_of_its_caller() {
+    // An operator needs to see why a job does not start although hosts are idle.
     let mut session = session_with_quota(&["e1"], Ledger::default(), 2);
     session.submit_as(CALLER, "j", vec![step(3)]);
     start_all(&mut session);
@@ -165,16 +166,16 @@
     let lines = session.scheduler.explain(session.moment(), &Subject::Job(JobName::from("j")));
     let dump = session.scheduler.dump(session.moment());
 
-    let logged = "its caller nosipho is at its quota: uses 2000 thousandths of a core";
-    assert!(lines.iter().any(|line| line.starts_with(logged)), "{lines:?}");
+    let expected = "its caller nosipho is at its quota: uses 2000 thousandths of a core";
+    assert!(lines.iter().any(|line| line.starts_with(expected)), "{lines:?}");
     assert_eq!(dump.callers[CALLER].used, cores(2));
 }
 
 #[test]
-fn a_flood_beyond_its_share_does_not_push_aside_what_others_were_promised() {
-    // One caller hands in forty jobs in a moment, four times its share, and another hands in four as
-    // it always does. All are due about the same time, and the pool runs eight at once. Served by
-    // their deadlines alone, the four would come after all forty.
+fn jobs_beyond_the_share_of_a_caller_do_not_displace_those_within_a_share() {
+    // One caller submits forty jobs at once, four times its share, and another submits its usual
+    // four. All have about the same deadline, and the pool runs eight tasks at once. In the order of
+    // deadlines the four would run after all forty.
     let mut config = Config::clone(&config_with_quota(1, 0));
     let name = CallerName::from("thandi");
     let caller = Caller { name: name.clone(), weight: 10.0, quota: Size::default() };
--- a/crates/borageswitch_scheduler/tests/sessions.rs
+++ b/crates/borageswitch_scheduler/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Short sessions with the scheduler, event by event.
+//! Sessions with the scheduler, driven event by event.
 
 mod support;
 
@@ -22,8 +22,9 @@
 
 #[test]
 fn an_end_is_acknowledged_only_after_it_is_stored() {
-    // The store is slow. An executor lists an end, and lists it once more before it is stored. Once
-    // acknowledged it forgets the end; if the leader then dies, the task is run a second time.
+    // The store is slow, and an executor reports an end twice before it is stored. An executor
+    // forgets acknowledged ends. If the leader crashed after an early acknowledgement, the next one
+    // would run the task again.
     let mut session = Session::new(&["e1"]);
     session.submit("j", vec![step(1), Step { after: vec![0], ..step(1) }]);
     assert_eq!(session.store_and_start().len(), 1);
@@ -38,9 +39,9 @@
 }
 
 #[test]
-fn a_wave_of_cancellings_fits_the_stores_limit() {
-    // Forty callers cancel in the same moment. One call to the store takes 32 entries; a larger one
-    // is refused for ever, and with it everything that waits behind it.
+fn a_burst_of_cancellations_respects_the_entry_limit_of_the_store() {
+    // Forty jobs are cancelled at once. The store accepts at most 32 entries in one call. A larger
+    // one is always rejected and would block all later appends.
     let mut session = Session::new(&["e1"]);
     for number in 0..40 {
         session.submit(&format!("{number:016x}"), vec![step(1)]);
@@ -65,19 +66,19 @@
 }
 
 #[test]
-fn a_task_on_a_silent_executor_does_not_count_as_at_work() {
-    // Two tasks serve the same users and one may be away. The host of one has fallen silent a
-    // second ago; the other's is due for maintenance. Counting on the silent one would leave the
-    // users with neither.
+fn a_task_on_an_unreachable_executor_does_not_count_as_available() {
+    // A step has two lasting tasks, of which one may be unavailable. The executor of one stopped
+    // responding; the host of the other is due for maintenance. If the first counted as available,
+    // both tasks would be down.
     let mut session = Session::new(&["e1", "e2", "e3"]);
     session.submit("l", vec![lasting(2)]);
     let started = session.store_and_start();
     assert_eq!(started.len(), 2);
-    let (silent, due) = (started[0].0.clone(), started[1].0.clone());
+    let (unreachable, due) = (started[0].0.clone(), started[1].0.clone());
     session.now += 500;
     session.report(due.as_str(), &[active(&started[1].1)], &[], 0);
-    session.report(silent.as_str(), &[active(&started[0].1)], &[], 0);
-    session.poll_answered(silent.as_str(), PollResponse::Lost, 0);
+    session.report(unreachable.as_str(), &[active(&started[0].1)], &[], 0);
+    session.poll_answered(unreachable.as_str(), PollResponse::Lost, 0);
     let wave = WaveRequest {
         wave: 1,
         hosts: vec![HostName::from("h")],
@@ -94,11 +95,11 @@
 }
 
 #[test]
-fn tasks_that_may_not_leave_together_stay_until_there_is_another_host() {
-    // Two tasks that serve the same users share the only host of their pool, which is due for
-    // maintenance; one of them may be away. Stopped although it has nowhere to go, the first can
-    // neither come back to a host that is being emptied nor let the second follow: its users have
-    // one task less for the rest of the day.
+fn lasting_tasks_on_one_host_stay_until_there_is_another_host() {
+    // Two lasting tasks, of which one may be unavailable, share the only host of their pool, which
+    // is due for maintenance. If the first were stopped without another host for it, it could not
+    // return to the draining host, and the second could not be stopped either: the step would have
+    // one task less until another host comes.
     let mut session = Session::new(&["e1"]);
     session.submit("l", vec![Step { max_per_host: None, ..lasting(2) }]);
     let started = session.store_and_start();
@@ -115,8 +116,8 @@
 }
 
 #[test]
-fn a_host_that_is_off_is_maintained_at_once() {
-    // A host without an executor has nothing to be emptied of. Waited for, it made its wave late.
+fn a_host_without_an_executor_is_maintained_at_once() {
+    // A host without an executor needs no drain. Waiting for one delayed its wave.
     let mut session = Session::new(&["e1"]);
     let off = HostEntry { executor: None, ..host("h", "none") };
     let wave = WaveRequest {
@@ -144,10 +145,10 @@
 }
 
 #[test]
-fn a_host_that_may_not_be_ordered_yet_goes_on_working() {
-    // A new leader finds that its predecessor has just ordered a host about, so it may not order it
-    // for some seconds. Emptied already, the host would stand idle all that time, in the middle of
-    // its pool's rush.
+fn a_host_that_may_not_be_ordered_yet_keeps_accepting_tasks() {
+    // The previous leader has just sent an order for a host, so a new leader must not send another
+    // for some seconds. If the host were drained already, it would be idle for that time, possibly
+    // during a load peak of its pool.
     let mut ledger = Ledger::default();
     ledger.apply(&Record::HostOrdered { host: HostName::from("h") });
     let mut session = Session::with_ledger(&["e1"], ledger);
@@ -168,9 +169,9 @@
 }
 
 #[test]
-fn nothing_is_placed_beside_a_run_that_nobody_wants() {
-    // After a change of leader an executor that guards nothing still runs a task of a job that has
-    // ended. Its room is not known; filled up all the same, the executor would be over its capacity.
+fn nothing_is_placed_beside_an_orphan_run() {
+    // After a change of leader an executor still runs a task of a job that has ended. The size of
+    // that run is unknown, so another run might exceed the capacity of the executor.
     let mut session = Session::new(&["e1"]);
     session.report("e1", &[active(&key("gone", 0))], &[], 0);
 
@@ -181,9 +182,9 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_barred_before_the_task_runs_elsewhere() {
-    // The order may be carried out seconds later. Started elsewhere at once, the task would run
-    // twice.
+fn a_start_without_a_response_is_stopped_before_the_task_runs_elsewhere() {
+    // The order may be carried out seconds later. If the task were started elsewhere at once, it
+    // would run twice.
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("j", vec![step(1)]);
     for effect in session.advance(50) {
@@ -228,7 +229,8 @@
     })
 }
 
-/// Stores what there is to store, and gives the hosts that get an order, for so many milliseconds.
+/// Runs the session for a number of milliseconds, stores all appends, and returns the hosts for
+/// which orders were sent.
 fn ordered_hosts(session: &mut Session, millis: u64) -> Vec<HostName> {
     let mut orders = Vec::new();
     for _ in 0..millis / 50 {
@@ -243,7 +245,8 @@
     orders
 }
 
-/// The ledger of a leader that had an order for `h` answered and went on for so long.
+/// The ledger of a leader that got a response to an order for `h` and led for `settled_for`
+/// milliseconds after it.
 fn ledger_with_order(settled_for: u64) -> Ledger {
     let mut ledger = Ledger::default();
     let host = HostName::from("h");
@@ -253,7 +256,7 @@
     ledger
 }
 
-/// The hosts that a new leader sends into maintenance in its first half second.
+/// The hosts that a new leader orders into maintenance within half a second.
 fn ordered_at_once(ledger: Ledger) -> Vec<HostName> {
     let mut session = Session::with_ledger(&["e1"], ledger);
     session.handle(wave_over(&["h"], 1));
@@ -264,9 +267,9 @@
 
 #[test]
 fn a_new_leader_orders_hosts_whose_last_order_is_old() {
-    // Daemons are restarted in turn while the load moves from pool to pool. Nearly every host was
-    // moved a while ago. A leader that left them all alone for seconds after each change would keep
-    // the pool that has its turn at the few hosts it has, and its callers' jobs would be late.
+    // Daemons are restarted one after another while the load moves between pools, and nearly every
+    // host was moved some time ago. If each new leader sent no orders for these hosts for seconds,
+    // the pool with the load peak would get no hosts, and its jobs would be late.
     let long_ago = ledger_with_order(3_600);
 
     let orders = ordered_at_once(long_ago);
@@ -275,9 +278,9 @@
 }
 
 #[test]
-fn a_new_leader_leaves_alone_what_was_ordered_of_late() {
-    // The last leader had an order for a host answered and died within the second. Ordered about
-    // again at once, the host would follow two leaders in turn.
+fn a_new_leader_does_not_order_hosts_whose_last_order_is_recent() {
+    // The previous leader got a response to an order for a host and crashed within a second. With a
+    // new order at once, the host would follow the orders of two leaders in turn.
     let just_now = ledger_with_order(900);
 
     let orders = ordered_at_once(just_now);
@@ -286,10 +289,11 @@
 }
 
 #[test]
-fn a_task_on_a_host_that_the_last_leader_ordered_about_does_not_count_as_at_work() {
-    // A leader has sent a host into maintenance and is restarted before the answer comes. Its
-    // successor hears from the host's executor just before it ends, and empties the host of the
-    // other task of the same step: both are away, and the users of the two are without service.
+fn a_task_on_a_host_with_an_inherited_order_does_not_count_as_available() {
+    // A leader orders a host into maintenance and is restarted before the response. The executor of
+    // the host still responds to the next leader just before it ends. If its task counted as
+    // available, the leader would drain the host of the other task of the step, and both would be
+    // down.
     let mut ledger = Ledger::default();
     ledger.apply(&Record::HostOrdered { host: HostName::from("h1") });
     let mut session = Session::with_ledger(&["e1", "e2", "e3"], ledger);
@@ -315,9 +319,9 @@
 }
 
 #[test]
-fn the_age_of_an_order_outlives_a_leader_without_any() {
-    // One leader orders a host about and dies; the next one dies a second later, without an order of
-    // its own. The third must not take the second's short term for the age of the order.
+fn the_age_of_an_order_survives_a_leader_without_orders() {
+    // A leader sends an order for a host and crashes. The next one crashes a second later without
+    // an order of its own. The third must not mistake that short term for the age of the order.
     let mut ledger = ledger_with_order(900);
     ledger.apply(&Record::TermBegan);
     ledger.apply(&Record::Led { millis: 1_000 });
@@ -328,9 +332,9 @@
 }
 
 #[test]
-fn a_host_that_the_last_leader_ordered_about_counts_as_away() {
-    // A leader has ordered a host into maintenance and died; the order may still be on its way. Its
-    // successor sees the host up. Sending another one now, there would be two away where the
+fn a_host_with_an_inherited_order_counts_as_down() {
+    // A leader orders a host into maintenance and crashes; the order may still arrive. The next
+    // leader sees the host up. If it ordered another host now, two hosts might be down where the
     // operator allows one.
     let mut ledger = Ledger::default();
     ledger.apply(&Record::HostOrdered { host: HostName::from("h1") });
@@ -345,9 +349,9 @@
 }
 
 #[test]
-fn a_host_that_is_busy_is_not_ordered_all_the_time() {
-    // The platform calls a host busy that is about to leave, for as long as it takes. An order at
-    // every look would cost a write and a call each, several times a second.
+fn orders_for_a_busy_host_are_limited() {
+    // The platform reports a host as busy until it has left. An order at each check would cost a
+    // write and a call several times a second.
     let mut session = Session::new(&["e1"]);
     session.handle(wave_over(&["h"], 1));
     session.advance(60);
@@ -363,15 +367,15 @@
     assert!((1..=5).contains(&orders), "{orders} orders in two seconds");
 }
 
-fn polls(effects: &[Effect]) -> usize {
+fn poll_count(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Poll(..))).count()
 }
 
 #[test]
-fn a_slow_store_does_not_hide_what_ends_meanwhile() {
-    // The store takes a third of a second for each append while a pool is in its rush. An executor
-    // that is not looked at until its last end is stored seems as full as before, and the tasks that
-    // wait for its room are late.
+fn polls_continue_while_the_store_is_slow() {
+    // The store takes a third of a second for each append during a load peak. If an executor were
+    // not polled until its last end is stored, it would seem full, and the tasks that wait for its
+    // capacity would be late.
     let mut session = Session::new(&["e1"]);
     session.submit("j", vec![step(2)]);
     assert_eq!(session.store_and_start().len(), 2);
@@ -381,13 +385,13 @@
 
     let effects: Vec<Effect> = (0..5).flat_map(|_| session.advance(50)).collect();
 
-    assert_eq!(polls(&effects), 1, "{effects:?}");
+    assert_eq!(poll_count(&effects), 1, "{effects:?}");
 }
 
 #[test]
-fn a_job_whose_order_never_left_still_waits() {
-    // A leader stores where it will start a job and is deposed before the order leaves. Whoever
-    // watches the queue must not be told that nothing waits in it: the job runs nowhere.
+fn a_job_whose_start_was_not_sent_counts_as_pending() {
+    // A leader stores the assignment of a task and loses its term before the order is sent. The job
+    // runs nowhere, so the queue must not be reported as empty.
     let mut session = Session::new(&["e1"]);
     session.submit("j", vec![step(1)]);
     let records: Vec<Record> = session.advance(50).into_iter().flat_map(records_of).collect();
--- a/crates/borageswitch_scheduler/tests/sharing.rs
+++ b/crates/borageswitch_scheduler/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill gaps beside tasks that serve users, on one host.
+//! Best-effort tasks that share a host with tasks that serve users.
 
 mod support;
 
@@ -36,7 +36,7 @@
     ActiveRun { task: key(job, 0), run: 1, checkpoint: None, percent: 100, recent }
 }
 
-/// Both kinds on the only host, at work.
+/// A task of each kind, both active on the only host.
 fn session() -> Session {
     let mut session = Session::new(&["e1"]);
     session.submit(SERVER, vec![serving_step()]);
@@ -46,7 +46,8 @@
     session
 }
 
-/// The host reports a tail of the serving task; gives the pace that is then ordered.
+/// Reports a tail response time of the serving task and returns the speed limit that is then
+/// ordered, if any.
 fn speed_limit_after(session: &mut Session, tail_ms: u64) -> Option<u8> {
     session.report("e1", &[active_run(SERVER, tail_ms), active_run(BEST_EFFORT, 0)], &[], 0);
     ordered_speed_limit(session)
@@ -64,11 +65,11 @@
     limits.last()
 }
 
-/// The tail of a serving task is over its target, so what fills gaps beside it stands still. Then
-/// the serving task is cancelled. Left at its pace, the other would do nothing for ever, although
-/// there is nobody left whom it could disturb.
+/// The tail response time of a serving task is over its target, so the best-effort task beside it
+/// is halted. Then the serving task is cancelled. If the limit remained, the best-effort task would
+/// never run again although it no longer affects anyone.
 #[test]
-fn what_fills_gaps_is_let_go_when_nobody_is_served_beside_it() {
+fn the_speed_limit_is_lifted_when_no_serving_task_is_left() {
     let mut session = session();
     while speed_limit_after(&mut session, 300) != Some(0) {}
 
@@ -77,10 +78,10 @@
     assert_eq!(ordered_speed_limit(&mut session), Some(100));
 }
 
-/// An order to go on at a pace gets no answer and was not carried out. Believed to be at full
-/// speed, the task would be left where it is and its owner would see it stand still.
+/// An order to limit the speed gets no response, so the limit in force is unknown. If the scheduler
+/// assumed full speed, it would not lift the limit, and the task might stay halted.
 #[test]
-fn a_pace_that_may_not_have_arrived_is_ordered_again() {
+fn a_speed_limit_without_a_response_is_ordered_again() {
     let mut session = session();
     while speed_limit_after(&mut session, 300) != Some(0) {}
 
@@ -108,10 +109,10 @@
     Record::Assigned { task, run: 1, executor: ExecutorName::from("e1") }
 }
 
-/// The leader is replaced while a task stands still beside one that serves. Its successor does not
-/// know of the pace; taken for full speed, it would never be raised.
+/// The leader is replaced while a best-effort task is halted. The next leader does not know the
+/// limit; if it assumed full speed, it would never lift the limit.
 #[test]
-fn a_new_leader_sets_the_pace_anew() {
+fn a_new_leader_orders_the_speed_limit_again() {
     let mut ledger = Ledger::default();
     for (job, step) in [(SERVER, serving_step()), (BEST_EFFORT, best_effort_step())] {
         ledger.submit(submission(job, step));
