--- a/benches/src/scheduler.rs
+++ b/benches/src/scheduler.rs
@@ -237,7 +237,7 @@
                 job: JobName::from(format!("{:016x}", self.rng.u64(..))),
                 queue: queue(active_queue),
                 accepted: UnixMillis(self.now),
-                spec: JobSpec { text: "text".into(), steps: vec![step], schedule: None },
+                spec: JobSpec { payload: "text".into(), steps: vec![step], schedule: None },
                 caller: (self.callers > 0).then(|| caller(self.rng.u64(..self.callers)).name),
             };
             self.due.push_back((self.now, Event::Submitted(Arc::new(submission))));
--- a/crates/borageswitch_fakes/src/platform/executors.rs
+++ b/crates/borageswitch_fakes/src/platform/executors.rs
@@ -96,8 +96,8 @@
         if self.barred.get(&order.task).is_some_and(|barred| order.run <= *barred) {
             return StartResponse::Outdated;
         }
-        let lasting = order.text.starts_with(LASTING_TEXT);
-        let fails = order.text.starts_with(FAILING_TEXT);
+        let lasting = order.payload.starts_with(LASTING_TEXT);
+        let fails = order.payload.starts_with(FAILING_TEXT);
         let run = Run {
             run: order.run,
             started_ms: clock_ms,
@@ -109,7 +109,7 @@
             executor: self.name.clone(),
             task: order.task.clone(),
             run: order.run,
-            text: order.text.clone(),
+            text: order.payload.clone(),
             started_ms: clock_ms,
             ended: None,
             acknowledged_ms: None,
--- a/crates/borageswitch_fakes/src/platform/port.rs
+++ b/crates/borageswitch_fakes/src/platform/port.rs
@@ -124,7 +124,7 @@
             None if dark => (StartResponse::Lost, None),
             None => (StartResponse::OtherIncarnation, Some(clock_ms)),
         };
-        if answered.0 == StartResponse::Started && order.text.starts_with(CRASHING_TEXT) {
+        if answered.0 == StartResponse::Started && order.payload.starts_with(CRASHING_TEXT) {
             self.crash_under_task(&mut guard, &to.executor);
         }
         answered
--- a/crates/borageswitch_runtime/src/codec/tests.rs
+++ b/crates/borageswitch_runtime/src/codec/tests.rs
@@ -16,7 +16,7 @@
         job: JobName::from("j"),
         queue: example::queue("runs", "/runs/", "payroll"),
         accepted: UnixMillis(1),
-        spec: JobSpec { text: "text".into(), steps, schedule: None },
+        spec: JobSpec { payload: "text".into(), steps, schedule: None },
         caller,
     }
 }
--- a/crates/borageswitch_runtime/src/control/tests.rs
+++ b/crates/borageswitch_runtime/src/control/tests.rs
@@ -60,7 +60,7 @@
         job: JobName::from(job),
         queue: queue(),
         accepted: UnixMillis(1),
-        spec: JobSpec { text: "text".into(), steps, schedule: None },
+        spec: JobSpec { payload: "text".into(), steps, schedule: None },
         caller: None,
     })
 }
--- a/crates/borageswitch_runtime/tests/daemons.rs
+++ b/crates/borageswitch_runtime/tests/daemons.rs
@@ -62,7 +62,7 @@
     let step =
         Step { count: 4, size: cores(1), estimate: Duration::from_millis(30), ..Step::default() };
     let second = Step { after: vec![0], ..step.clone() };
-    JobSpec { text: "text".into(), steps: vec![step, second], schedule: None }
+    JobSpec { payload: "text".into(), steps: vec![step, second], schedule: None }
 }
 
 async fn until<F, T>(mut tried: F) -> T
--- a/crates/borageswitch_scheduler/src/effect.rs
+++ b/crates/borageswitch_scheduler/src/effect.rs
@@ -26,7 +26,7 @@
     /// The number of the run, unique among the runs of the task.
     pub run: u32,
     /// The payload of the job.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// When the executor's lease expires, in milliseconds by its clock.
     pub until_ms: u64,
     /// The checkpoint to resume from.
@@ -55,7 +55,7 @@
     Maintain(u64),
 }
 
-/// An action for the runtime. Effects are carried out in the order in which they are returned.
+/// An action for the runtime. Effects must be dispatched in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Store records. Effects that depend on them are returned only after the records are stored.
--- a/crates/borageswitch_scheduler/src/event.rs
+++ b/crates/borageswitch_scheduler/src/event.rs
@@ -121,7 +121,7 @@
     Present(Registration),
     /// The registration was removed.
     Unregistered(ExecutorName),
-    /// The registration exists but cannot be parsed, so the executor is not used.
+    /// The registration exists but cannot be parsed; it is treated as removed.
     Unreadable(ExecutorName),
 }
 
--- a/crates/borageswitch_scheduler/src/job.rs
+++ b/crates/borageswitch_scheduler/src/job.rs
@@ -10,7 +10,7 @@
 use crate::config::Queue;
 
 /// The longest payload of a job, in bytes. The limit is set by the platform.
-pub const MAX_TEXT_BYTES: usize = 4_000;
+pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 /// The largest number of steps of a job. The platform sets no limit; this one bounds the size of a
 /// request.
 pub const MAX_STEPS: usize = 256;
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct JobSpec {
     /// Opaque payload, passed to every task unchanged.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// The steps; [`Step::after`] refers to their indices.
     pub steps: Vec<Step>,
     /// Set for jobs that run on a schedule.
@@ -159,7 +159,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum JobError {
     /// The payload is too long.
-    #[display("spec: {_0} bytes, at most {MAX_TEXT_BYTES} are allowed")]
+    #[display("spec: {_0} bytes, at most {MAX_PAYLOAD_BYTES} are allowed")]
     PayloadTooLong(usize),
     /// The job has no steps.
     #[display("steps: a job needs one step at least")]
@@ -195,8 +195,8 @@
     ///
     /// Returns the first violation, with the name of the field.
     pub fn check(&self) -> Result<(), JobError> {
-        if self.text.len() > MAX_TEXT_BYTES {
-            return Err(JobError::PayloadTooLong(self.text.len()));
+        if self.payload.len() > MAX_PAYLOAD_BYTES {
+            return Err(JobError::PayloadTooLong(self.payload.len()));
         }
         if self.steps.is_empty() {
             return Err(JobError::NoSteps);
--- a/crates/borageswitch_scheduler/src/ledger/tests.rs
+++ b/crates/borageswitch_scheduler/src/ledger/tests.rs
@@ -34,7 +34,7 @@
         job: JobName::from(job),
         queue: queue(),
         accepted: UnixMillis(1_000),
-        spec: JobSpec { text: "text".into(), steps, schedule: None },
+        spec: JobSpec { payload: "text".into(), steps, schedule: None },
         caller: None,
     })
 }
--- a/crates/borageswitch_scheduler/src/policy/quotas/tests.rs
+++ b/crates/borageswitch_scheduler/src/policy/quotas/tests.rs
@@ -58,7 +58,7 @@
     // A caller hands in ten tasks that work only together, and may use four cores. Accepted, the job
     // would wait for ever, and its caller would learn of it when its own time has passed.
     let gang = Step { count: 10, size: size(1_000, 0, 0), gang: true, ..Step::default() };
-    let spec = JobSpec { text: "".into(), steps: vec![Step::default(), gang], schedule: None };
+    let spec = JobSpec { payload: "".into(), steps: vec![Step::default(), gang], schedule: None };
 
     let refused = check(&size(4_000, 0, 0), &spec);
 
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -79,7 +79,7 @@
         Some(StartOrder {
             task: task.clone(),
             run,
-            text: job.submission.spec.text.clone(),
+            payload: job.submission.spec.payload.clone(),
             until_ms: clock.estimate(now.time) + self.limits.lease.as_millis() as u64,
             checkpoint: state.checkpoint.clone(),
             ticket,
--- a/crates/borageswitch_scheduler/tests/advice.rs
+++ b/crates/borageswitch_scheduler/tests/advice.rs
@@ -14,7 +14,7 @@
 use borageswitch_types::{Time, names::ExecutorName};
 use support::{
     fixtures::{config_with, cores, queue},
-    session::{Session, active, key, lasting, step, stops},
+    session::{Session, active, key, lasting, step, stop_count},
 };
 
 /// The largest number of executors in one request to the advisor.
@@ -108,7 +108,7 @@
 
 /// All hosts are full of short tasks when a lasting task arrives that has no permission for any of
 /// them yet. Evictions from a host where it may not run would repeatedly waste the work of other
-/// callers.
+/// callers without any benefit.
 #[test]
 fn nothing_is_evicted_from_hosts_where_a_lasting_task_may_not_run() {
     let executors = names(2);
@@ -125,5 +125,5 @@
         effects.extend(session.advance(50));
     }
 
-    assert_eq!(stops(&effects), 0, "{effects:?}");
+    assert_eq!(stop_count(&effects), 0, "{effects:?}");
 }
--- a/crates/borageswitch_scheduler/tests/crashes.rs
+++ b/crates/borageswitch_scheduler/tests/crashes.rs
@@ -26,7 +26,7 @@
     lines.iter().filter(|line| line.kind == kind).collect()
 }
 
-fn listed(session: &mut Session, hosts: Vec<HostEntry>) -> Vec<LogLine> {
+fn list_hosts(session: &mut Session, hosts: Vec<HostEntry>) -> Vec<LogLine> {
     let mut logged = lines(session, 2_000);
     session.handle(Event::HostsListed(Some(hosts)));
     logged.extend(lines(session, 0));
@@ -42,7 +42,7 @@
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("j", vec![step(16)]);
     session.store_and_start();
-    listed(&mut session, vec![host("h1", "e1"), host("h2", "e2")]);
+    list_hosts(&mut session, vec![host("h1", "e1"), host("h2", "e2")]);
     session
 }
 
@@ -52,7 +52,7 @@
     let mut session = busy_pair();
     session.poll_answered("e1", PollResponse::Lost, 0);
 
-    let logged = listed(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
+    let logged = list_hosts(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
 
     let crashes = lines_of_kind(&logged, "executor-crashed");
     assert_eq!(crashes.len(), 1, "{logged:?}");
@@ -65,7 +65,7 @@
 fn simultaneous_crashes_are_logged_as_such() {
     let mut session = busy_pair();
 
-    let logged = listed(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
+    let logged = list_hosts(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
 
     let crashes = lines_of_kind(&logged, "executor-crashed");
     assert_eq!(crashes.len(), 2, "{logged:?}");
@@ -83,19 +83,19 @@
     ];
     for end in ends {
         let mut session = busy_pair();
-        let logged = listed(&mut session, vec![end, host("h2", "e2")]);
+        let logged = list_hosts(&mut session, vec![end, host("h2", "e2")]);
         assert_eq!(lines_of_kind(&logged, "executor-ended").len(), 1, "{logged:?}");
         assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
     }
 
     let mut removed = busy_pair();
-    let logged = listed(&mut removed, vec![host("h2", "e2")]);
+    let logged = list_hosts(&mut removed, vec![host("h2", "e2")]);
     assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 
     let mut drained = busy_pair();
-    let leaving = Registration { draining: true, ..registration("e1") };
-    drained.handle(Event::RegistrationChanged(RegistrationChange::Present(leaving)));
-    let logged = listed(&mut drained, vec![down(entry), host("h2", "e2")]);
+    let draining = Registration { draining: true, ..registration("e1") };
+    drained.handle(Event::RegistrationChanged(RegistrationChange::Present(draining)));
+    let logged = list_hosts(&mut drained, vec![down(entry), host("h2", "e2")]);
     assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 }
 
--- a/crates/borageswitch_scheduler/tests/gangs.rs
+++ b/crates/borageswitch_scheduler/tests/gangs.rs
@@ -17,7 +17,7 @@
 use borageswitch_types::names::{HostName, PoolName};
 use support::{
     fixtures::{config, cores},
-    session::{Session, active, done, host, step, stops},
+    session::{Session, active, done, host, step, stop_count},
 };
 
 /// A gang whose members each need most of a host.
@@ -162,7 +162,7 @@
 
     let effects = session.settle();
 
-    assert!(stops(&effects) >= 1, "{effects:?}");
+    assert!(stop_count(&effects) >= 1, "{effects:?}");
 }
 
 fn config_with_standby_pool() -> Arc<Config> {
--- a/crates/borageswitch_scheduler/tests/quotas.rs
+++ b/crates/borageswitch_scheduler/tests/quotas.rs
@@ -16,7 +16,7 @@
 use borageswitch_types::names::{CallerName, JobName};
 use support::{
     fixtures::{config, cores},
-    session::{Session, active, done, key, step, stops},
+    session::{Session, active, done, key, step, stop_count},
 };
 
 const CALLER: &str = "nosipho";
@@ -94,7 +94,7 @@
     let at_quota = start_all(&mut session);
     session.report("e1", &running[1..], &[done(3, &key("j", 2))], 2);
 
-    assert_eq!(stops(&effects), 0);
+    assert_eq!(stop_count(&effects), 0);
     assert_eq!(at_quota, 0);
     assert_eq!(start_all(&mut session), 1);
 }
--- a/crates/borageswitch_scheduler/tests/sessions.rs
+++ b/crates/borageswitch_scheduler/tests/sessions.rs
@@ -17,7 +17,7 @@
 };
 use support::{
     fixtures::queue,
-    session::{Session, acknowledgements, active, done, host, key, lasting, step, stops},
+    session::{Session, acknowledgements, active, done, host, key, lasting, step, stop_count},
 };
 
 #[test]
@@ -91,7 +91,7 @@
 
     let effects = session.advance(60);
 
-    assert_eq!(stops(&effects), 0, "{effects:?}");
+    assert_eq!(stop_count(&effects), 0, "{effects:?}");
 }
 
 #[test]
@@ -112,7 +112,7 @@
 
     let effects: Vec<Effect> = (0..10).flat_map(|_| session.advance(60)).collect();
 
-    assert_eq!(stops(&effects), 0, "{effects:?}");
+    assert_eq!(stop_count(&effects), 0, "{effects:?}");
 }
 
 #[test]
@@ -211,7 +211,7 @@
 
     let effects = session.advance(60);
 
-    assert_eq!(stops(&effects), 1, "{effects:?}");
+    assert_eq!(stop_count(&effects), 1, "{effects:?}");
     assert!(session.store_and_start().is_empty());
     let response = OrderResponse::Done;
     session.handle(Event::StopAnswered { executor: executor.clone(), task, run: 1, response });
@@ -309,7 +309,7 @@
         for _ in 0..millis / 500 {
             session.report(first.as_str(), &[active(&started[0].1)], &[], 0);
             session.report(second.as_str(), &[active(&started[1].1)], &[], 0);
-            found += stops(&session.advance(500));
+            found += stop_count(&session.advance(500));
         }
         found
     };
@@ -390,8 +390,8 @@
 
 #[test]
 fn a_job_whose_start_was_not_sent_counts_as_pending() {
-    // A leader stores the assignment of a task and loses its term before the order is sent. The job
-    // runs nowhere, so the queue must not be reported as empty.
+    // The term of a leader ends after it stored the assignment of a task and before it sent the
+    // order. The job runs nowhere, so the queue must not be reported as empty.
     let mut session = Session::new(&["e1"]);
     session.submit("j", vec![step(1)]);
     let records: Vec<Record> = session.advance(50).into_iter().flat_map(records_of).collect();
--- a/crates/borageswitch_scheduler/tests/sharing.rs
+++ b/crates/borageswitch_scheduler/tests/sharing.rs
@@ -100,7 +100,7 @@
         job: JobName::from(job),
         queue: queue(),
         accepted: UnixMillis(999_000),
-        spec: JobSpec { text: "text".into(), steps: vec![step], schedule: None },
+        spec: JobSpec { payload: "text".into(), steps: vec![step], schedule: None },
         caller: None,
     })
 }
--- a/crates/borageswitch_scheduler/tests/support/session.rs
+++ b/crates/borageswitch_scheduler/tests/support/session.rs
@@ -88,7 +88,7 @@
 }
 
 /// The number of stop orders among the effects.
-pub fn stops(effects: &[Effect]) -> usize {
+pub fn stop_count(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Stop(..))).count()
 }
 
@@ -153,7 +153,7 @@
             job: JobName::from(job),
             queue: queue(),
             accepted: UnixMillis(990_000 + self.now),
-            spec: JobSpec { text: "text".into(), steps, schedule: None },
+            spec: JobSpec { payload: "text".into(), steps, schedule: None },
             caller,
         };
         self.handle(Event::Submitted(Arc::new(submission)));
--- a/crates/borageswitch_scheduler/tests/support/simulation.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation.rs
@@ -285,7 +285,7 @@
             job: name.clone(),
             queue: queue(),
             accepted: UnixMillis(WALL_CLOCK_START + self.now),
-            spec: JobSpec { text: "text".into(), steps, schedule },
+            spec: JobSpec { payload: "text".into(), steps, schedule },
             caller,
         });
         self.submissions.insert(name.clone(), submission.clone());
@@ -336,7 +336,7 @@
                 executor.advance(self.now);
             }
         }
-        self.store();
+        self.commit_appends();
         self.run_leader();
         self.check();
     }
@@ -351,7 +351,7 @@
             self.leader_back_at = self.now + self.rng.u64(50..3_000);
         }
         if self.chance(self.faults.executor_crash) {
-            self.kill_executor();
+            self.crash_random_executor();
         }
         if self.chance(self.faults.executor_partition) {
             let alive: Vec<_> = self.executors.keys().cloned().collect();
@@ -367,7 +367,7 @@
         self.inject_host_faults();
     }
 
-    fn kill_executor(&mut self) {
+    fn crash_random_executor(&mut self) {
         let alive: Vec<_> =
             self.executors.keys().filter(|name| !self.dead.contains(*name)).cloned().collect();
         if alive.is_empty() {
@@ -430,7 +430,7 @@
         self.leader_since = self.now;
     }
 
-    fn store(&mut self) {
+    fn commit_appends(&mut self) {
         if self.now < self.store_outage_until {
             return;
         }
@@ -482,7 +482,7 @@
                     self.appends.retain(|number, _| !remove.contains(number));
                 }
                 Effect::StepDown => {
-                    self.violations.push("stepped down without another leader".to_owned())
+                    self.violations.push("stepped down without another leader".to_owned());
                 }
                 Effect::Log(line) => {
                     if std::env::var_os("BORAGESWITCH_LOG").is_some() {
--- a/crates/borageswitch_scheduler/tests/support/simulation/hosts.rs
+++ b/crates/borageswitch_scheduler/tests/support/simulation/hosts.rs
@@ -37,7 +37,7 @@
     state: HostState,
     executor: Option<ExecutorName>,
     /// The last incarnation of its executor that has ended.
-    last: Option<ExecutorName>,
+    last_executor: Option<ExecutorName>,
     back_at: u64,
     draining: bool,
     capacity: Size,
@@ -53,8 +53,8 @@
     /// Registrations of executors that have ended, each with the time of its expiry.
     expiring: Vec<(u64, Registration)>,
     /// Executors that crashed while their host stayed up, so that connections are reset.
-    reset: BTreeSet<ExecutorName>,
-    away_until: u64,
+    reset_connections: BTreeSet<ExecutorName>,
+    list_outage_until: u64,
     waves: u64,
     next_host: u32,
 }
@@ -85,7 +85,7 @@
         live.chain(expiring.map(|(_, registration)| registration.clone())).collect()
     }
 
-    fn of(&self, executor: &ExecutorName) -> Option<&SimHost> {
+    fn host_of(&self, executor: &ExecutorName) -> Option<&SimHost> {
         self.all.values().find(|host| host.executor.as_ref() == Some(executor))
     }
 }
@@ -102,7 +102,7 @@
             enforces_capacity,
             state: HostState::Up,
             executor: Some(executor),
-            last: None,
+            last_executor: None,
             back_at: 0,
             draining: false,
             capacity: cores(16),
@@ -117,7 +117,7 @@
         let back_at = self.now + self.rng.u64(2_000..5_000);
         let host_stays_up = self.rng.bool();
         if let Some(hosts) = self.hosts.as_mut().filter(|_| host_stays_up) {
-            hosts.reset.insert(executor.clone());
+            hosts.reset_connections.insert(executor.clone());
             self.reset_calls(executor);
         }
         self.end_incarnation(executor, HostState::Down, back_at);
@@ -125,7 +125,7 @@
 
     /// Whether connections to an executor are reset instead of timing out.
     pub(super) fn is_reset(&self, executor: &ExecutorName) -> bool {
-        self.hosts.as_ref().is_some_and(|hosts| hosts.reset.contains(executor))
+        self.hosts.as_ref().is_some_and(|hosts| hosts.reset_connections.contains(executor))
     }
 
     fn end_incarnation(&mut self, executor: &ExecutorName, state: HostState, back_at: u64) {
@@ -134,7 +134,7 @@
         let of = |host: &&mut SimHost| host.executor.as_ref() == Some(executor);
         let Some(host) = hosts.all.values_mut().find(of) else { return };
         let registration = host.registration();
-        host.last = host.executor.take();
+        host.last_executor = host.executor.take();
         host.state = state;
         host.back_at = back_at;
         host.draining = false;
@@ -190,7 +190,7 @@
 
     /// Starts a new executor on a host, under the same name if `reuse_names` is set.
     fn restart_executor(&mut self, host: &HostName, enforces_capacity: bool) -> ExecutorName {
-        let before = self.hosts.as_ref().and_then(|hosts| hosts.all[host].last.clone());
+        let before = self.hosts.as_ref().and_then(|hosts| hosts.all[host].last_executor.clone());
         let Some(before) = before.filter(|_| self.reuse_names) else {
             return self.add_executor(enforces_capacity);
         };
@@ -237,7 +237,7 @@
         if self.chance(self.faults.host_list_outage) {
             let until = self.now + self.rng.u64(500..6_000);
             if let Some(hosts) = &mut self.hosts {
-                hosts.away_until = until;
+                hosts.list_outage_until = until;
             }
         }
     }
@@ -317,7 +317,7 @@
     }
 
     pub(super) fn list_hosts(&self) -> Option<Vec<HostEntry>> {
-        let hosts = self.hosts.as_ref().filter(|hosts| hosts.away_until <= self.now)?;
+        let hosts = self.hosts.as_ref().filter(|hosts| hosts.list_outage_until <= self.now)?;
         let entries = hosts.all.iter().map(|(name, host)| HostEntry {
             host: name.clone(),
             pool: queue().pool,
@@ -348,7 +348,7 @@
 
     /// The capacity that a start may rely on: the current one, or the one before a recent loss.
     pub(super) fn recent_capacity(&self, executor: &ExecutorName) -> Size {
-        let host = self.hosts.as_ref().and_then(|hosts| hosts.of(executor));
+        let host = self.hosts.as_ref().and_then(|hosts| hosts.host_of(executor));
         let lately = host
             .and_then(|host| host.capacity_dropped)
             .filter(|(at, _)| self.now - at < CAPACITY_DROP_GRACE);
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -92,7 +92,7 @@
 
     /// Whether its tasks fail wherever they run, or crash whatever runs them.
     pub fn is_failing(&self) -> bool {
-        [FAILING_TEXT, CRASHING_TEXT].iter().any(|text| self.spec.text.starts_with(text))
+        [FAILING_TEXT, CRASHING_TEXT].iter().any(|text| self.spec.payload.starts_with(text))
     }
 }
 
@@ -291,7 +291,7 @@
     if text != FAILING_TEXT && rng.bool() {
         steps.push(step(rng, vec![0]));
     }
-    JobSpec { text: format!("{text} {:x}", rng.u32(..)).into(), steps, schedule: None }
+    JobSpec { payload: format!("{text} {:x}", rng.u32(..)).into(), steps, schedule: None }
 }
 
 fn lasting_job() -> JobSpec {
@@ -304,11 +304,11 @@
         max_unavailable: Some(1),
         ..Step::default()
     };
-    JobSpec { text: LASTING_TEXT.into(), steps: vec![step], schedule: None }
+    JobSpec { payload: LASTING_TEXT.into(), steps: vec![step], schedule: None }
 }
 
 fn crashing_job() -> JobSpec {
     let size = Size { cpu_milli: 1_000, memory_mb: 500, accelerators: 0 };
     let step = Step { count: 1, size, estimate: Duration::from_millis(100), ..Step::default() };
-    JobSpec { text: CRASHING_TEXT.into(), steps: vec![step], schedule: None }
+    JobSpec { payload: CRASHING_TEXT.into(), steps: vec![step], schedule: None }
 }
--- a/tools/soak/src/promises.rs
+++ b/tools/soak/src/promises.rs
@@ -79,7 +79,7 @@
     let Some(fate) = fates.get(&run.task.job) else {
         return Some(format!("{} runs and nobody handed it in", run.task));
     };
-    if fate.spec.text != run.text {
+    if fate.spec.payload != run.text {
         return Some(format!("{} runs with another text: {}", run.task, run.text));
     }
     if fate.is_refused() {
--- a/tools/soak/tests/promises.rs
+++ b/tools/soak/tests/promises.rs
@@ -21,7 +21,7 @@
     let size = Size { cpu_milli: 5_000, memory_mb: 500, accelerators: 0 };
     let step = Step { count: 1, size, ..Step::default() };
     let second = Step { after: vec![0], ..step.clone() };
-    JobSpec { text: "short".into(), steps: vec![step, second], schedule: None }
+    JobSpec { payload: "short".into(), steps: vec![step, second], schedule: None }
 }
 
 fn fate(tries: &[Try], state: &str) -> Fate {
