--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/looks.rs
@@ -96,7 +96,7 @@
                 self.effects.push(Effect::StepDown);
             }
             PollResponse::OtherIncarnation => {
-                self.life_over(now, executor, Ending::OtherLifeAnswered)
+                self.life_over(now, executor, Ending::OtherLifeAnswered);
             }
             PollResponse::Lost => self.look_lost(now, executor),
         }
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -124,7 +124,7 @@
             StartResponse::Lost => self.start_lost(now, executor, task),
             StartResponse::Fenced => self.effects.push(Effect::StepDown),
             StartResponse::OtherIncarnation => {
-                self.life_over(now, executor, Ending::OtherLifeAnswered)
+                self.life_over(now, executor, Ending::OtherLifeAnswered);
             }
             StartResponse::NoRoom => self.close(now, executor, task, FULL_PAUSE, "no room"),
             StartResponse::Malformed => {
@@ -236,7 +236,7 @@
             }
             OrderResponse::Fenced => self.effects.push(Effect::StepDown),
             OrderResponse::OtherIncarnation => {
-                self.life_over(now, executor, Ending::OtherLifeAnswered)
+                self.life_over(now, executor, Ending::OtherLifeAnswered);
             }
             // Sent again from the sweep.
             OrderResponse::Refused | OrderResponse::Lost => {}
--- a/crates/borageswitch_scheduler/tests/crashes.rs
+++ b/crates/borageswitch_scheduler/tests/crashes.rs
@@ -93,8 +93,8 @@
     assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 
     let mut drained = busy_pair();
-    let draining = Registration { draining: true, ..registration("e1") };
-    drained.handle(Event::RegistrationChanged(RegistrationChange::Present(draining)));
+    let on_drain = Registration { draining: true, ..registration("e1") };
+    drained.handle(Event::RegistrationChanged(RegistrationChange::Present(on_drain)));
     let logged = list_hosts(&mut drained, vec![down(entry), host("h2", "e2")]);
     assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 }
--- a/crates/borageswitch_scheduler/tests/support/fixtures.rs
+++ b/crates/borageswitch_scheduler/tests/support/fixtures.rs
@@ -31,8 +31,7 @@
 
 /// A configuration with only the given queue.
 pub fn config_with(queue: Queue, enforces_capacity: bool) -> Arc<Config> {
-    let pool =
-        Pool { name: queue.pool.clone(), enforces_capacity: enforces_capacity, standby: false };
+    let pool = Pool { name: queue.pool.clone(), enforces_capacity, standby: false };
     Arc::new(Config::new(1, [queue], [pool]))
 }
 
