--- a/crates/borageswitch_runtime/src/control/tests.rs
+++ b/crates/borageswitch_runtime/src/control/tests.rs
@@ -30,7 +30,7 @@
 }
 
 fn config() -> Arc<Config> {
-    let pool = Pool { name: queue().pool, guards_capacity: true, standby: false };
+    let pool = Pool { name: queue().pool, enforces_capacity: true, standby: false };
     Arc::new(Config::new(1, [queue()], [pool]))
 }
 
@@ -60,7 +60,7 @@
         job: JobName::from(job),
         queue: queue(),
         accepted: UnixMillis(1),
-        spec: JobSpec { text: "text".into(), steps, schedule: None },
+        spec: JobSpec { payload: "text".into(), steps, schedule: None },
         caller: None,
     })
 }
--- a/crates/borageswitch_scheduler/tests/crashes.rs
+++ b/crates/borageswitch_scheduler/tests/crashes.rs
@@ -1,16 +1,16 @@
-//! Executors that crash, and what is made of it.
+//! Detection and logging of crashes of executors.
 
 mod support;
 
 use borageswitch_scheduler::{
     effect::{Effect, LogLine},
-    event::{Event, LookAnswer, Seen},
+    event::{Event, PollResponse, RegistrationChange},
     executor::Registration,
     fleet::{HostEntry, HostState},
 };
 use support::session::{Session, host, registration, step};
 
-/// Every line of the next decision, `millis` later.
+/// Advances the time by `millis` and returns the log lines of the next decision.
 fn lines(session: &mut Session, millis: u64) -> Vec<LogLine> {
     session.now += millis;
     let moment = session.moment();
@@ -22,60 +22,60 @@
     lines.collect()
 }
 
-fn of_kind<'a>(lines: &'a [LogLine], kind: &str) -> Vec<&'a LogLine> {
+fn lines_of_kind<'a>(lines: &'a [LogLine], kind: &str) -> Vec<&'a LogLine> {
     lines.iter().filter(|line| line.kind == kind).collect()
 }
 
-fn listed(session: &mut Session, hosts: Vec<HostEntry>) -> Vec<LogLine> {
-    let mut told = lines(session, 2_000);
-    session.handle(Event::Hosts(Some(hosts)));
-    told.extend(lines(session, 0));
-    told
+fn list_hosts(session: &mut Session, hosts: Vec<HostEntry>) -> Vec<LogLine> {
+    let mut logged = lines(session, 2_000);
+    session.handle(Event::HostsListed(Some(hosts)));
+    logged.extend(lines(session, 0));
+    logged
 }
 
 fn down(host: HostEntry) -> HostEntry {
     HostEntry { state: HostState::Down, executor: None, ..host }
 }
 
-/// Two executors with a task each, on hosts that are listed.
+/// Two executors with eight tasks each, on hosts that are listed.
 fn busy_pair() -> Session {
     let mut session = Session::new(&["e1", "e2"]);
     session.submit("j", vec![step(16)]);
     session.store_and_start();
-    listed(&mut session, vec![host("h1", "e1"), host("h2", "e2")]);
+    list_hosts(&mut session, vec![host("h1", "e1"), host("h2", "e2")]);
     session
 }
 
 #[test]
-fn a_crash_is_told_with_the_tasks_that_ran_there() {
-    // An operator who finds host after host down has to see which task was on each of them.
+fn a_crash_is_logged_with_the_tasks_of_the_executor() {
+    // An operator who finds several hosts down needs to see which task ran on each of them.
     let mut session = busy_pair();
-    session.look_answered("e1", LookAnswer::Lost, 0);
+    session.poll_answered("e1", PollResponse::Lost, 0);
 
-    let told = listed(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
+    let logged = list_hosts(&mut session, vec![down(host("h1", "e1")), host("h2", "e2")]);
 
-    let crashes = of_kind(&told, "executor-crashed");
-    assert_eq!(crashes.len(), 1, "{told:?}");
+    let crashes = lines_of_kind(&logged, "executor-crashed");
+    assert_eq!(crashes.len(), 1, "{logged:?}");
     assert_eq!(&*crashes[0].subject, "e1");
     assert!(crashes[0].detail.contains("others=0 runs=8"), "{}", crashes[0].detail);
     assert!(crashes[0].detail.contains("j.0.0.0 run 1 age_ms"), "{}", crashes[0].detail);
 }
 
 #[test]
-fn executors_that_go_together_are_told_as_such() {
+fn simultaneous_crashes_are_logged_as_such() {
     let mut session = busy_pair();
 
-    let told = listed(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
+    let logged = list_hosts(&mut session, vec![down(host("h1", "e1")), down(host("h2", "e2"))]);
 
-    let crashes = of_kind(&told, "executor-crashed");
-    assert_eq!(crashes.len(), 2, "{told:?}");
+    let crashes = lines_of_kind(&logged, "executor-crashed");
+    assert_eq!(crashes.len(), 2, "{logged:?}");
     assert!(crashes.iter().all(|line| line.detail.contains("others=1")), "{crashes:?}");
 }
 
 #[test]
-fn an_executor_that_leaves_or_is_ordered_away_has_not_crashed() {
-    // Maintenance, a move, a drain and the removal of a host end executors as planned. Told as
-    // crashes, they would put blame on whatever ran there.
+fn a_planned_end_of_an_executor_is_not_a_crash() {
+    // Maintenance, a move, a drain and the removal of a host end executors as planned. If these
+    // counted as crashes, they would be attributed to the tasks that ran there.
     let entry = host("h1", "e1");
     let ends = [
         HostEntry { state: HostState::Moving, executor: None, ..entry.clone() },
@@ -83,30 +83,30 @@
     ];
     for end in ends {
         let mut session = busy_pair();
-        let told = listed(&mut session, vec![end, host("h2", "e2")]);
-        assert_eq!(of_kind(&told, "executor-ended").len(), 1, "{told:?}");
-        assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+        let logged = list_hosts(&mut session, vec![end, host("h2", "e2")]);
+        assert_eq!(lines_of_kind(&logged, "executor-ended").len(), 1, "{logged:?}");
+        assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
     }
 
     let mut removed = busy_pair();
-    let told = listed(&mut removed, vec![host("h2", "e2")]);
-    assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+    let logged = list_hosts(&mut removed, vec![host("h2", "e2")]);
+    assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 
     let mut drained = busy_pair();
-    let leaving = Registration { draining: true, ..registration("e1") };
-    drained.handle(Event::Executor(Seen::There(leaving)));
-    let told = listed(&mut drained, vec![down(entry), host("h2", "e2")]);
-    assert!(of_kind(&told, "executor-crashed").is_empty(), "{told:?}");
+    let on_drain = Registration { draining: true, ..registration("e1") };
+    drained.handle(Event::RegistrationChanged(RegistrationChange::Present(on_drain)));
+    let logged = list_hosts(&mut drained, vec![down(entry), host("h2", "e2")]);
+    assert!(lines_of_kind(&logged, "executor-crashed").is_empty(), "{logged:?}");
 }
 
 #[test]
-fn a_crash_that_shows_only_by_its_lease_is_told_as_well() {
-    // The platform's list of hosts is away: that an executor has gone shows by its registration
-    // and its lease alone.
+fn a_crash_that_is_detected_only_by_the_lease_is_logged() {
+    // Without the platform's list of hosts, only the registration and the lease show that an
+    // executor has ended.
     let mut session = busy_pair();
-    session.handle(Event::Executor(Seen::Gone("e1".into())));
+    session.handle(Event::RegistrationChanged(RegistrationChange::Unregistered("e1".into())));
 
-    let told: Vec<LogLine> = (0..200).flat_map(|_| lines(&mut session, 50)).collect();
+    let logged: Vec<LogLine> = (0..200).flat_map(|_| lines(&mut session, 50)).collect();
 
-    assert_eq!(of_kind(&told, "executor-crashed").len(), 1, "{told:?}");
+    assert_eq!(lines_of_kind(&logged, "executor-crashed").len(), 1, "{logged:?}");
 }
--- a/crates/borageswitch_scheduler/tests/failed_starts.rs
+++ b/crates/borageswitch_scheduler/tests/failed_starts.rs
@@ -1,49 +1,49 @@
-//! Starts that come to nothing are not repeated without a bound.
+//! Repetition of failed starts is limited.
 
 mod support;
 
 use borageswitch_scheduler::{
     effect::Effect,
-    event::{Event, OrderAnswer, StartAnswer},
+    event::{Event, OrderResponse, StartResponse},
     job::Step,
 };
 use borageswitch_types::Time;
 use support::session::{Session, step};
 
-/// For how long starts are answered, in milliseconds.
-const WHILE: u64 = 10_000;
-/// How many starts of one task that is for ten seconds at the most: two at once, five with growing
-/// pauses, and one a second.
-const MOST: usize = 2 + 5 + 10;
+/// The duration of each test, in milliseconds.
+const TEST_DURATION: u64 = 10_000;
+/// The most starts of one task in ten seconds: two at once, five with growing pauses, and one a
+/// second.
+const MAX_STARTS: usize = 2 + 5 + 10;
 
-/// How often the tasks of a job are started while each start is answered like this.
-fn starts_answered(answer: StartAnswer, steps: Vec<Step>) -> usize {
+/// Counts the starts of the tasks of a job while each start gets the given response.
+fn count_starts(response: StartResponse, steps: Vec<Step>) -> usize {
     let mut session = Session::new(&["e1", "e2", "e3"]);
     session.submit("j", steps);
     let mut starts = 0;
-    for _ in 0..WHILE / 20 {
-        for effect in session.pass(20) {
+    for _ in 0..TEST_DURATION / 20 {
+        for effect in session.advance(20) {
             match effect {
                 Effect::Append { append, .. } => session.handle(Event::Appended { append }),
                 Effect::Start(to, order) => {
                     starts += 1;
-                    let clock_ms = (answer != StartAnswer::Lost).then_some(session.now);
+                    let clock_ms = (response != StartResponse::Lost).then_some(session.now);
                     session.handle(Event::StartAnswered {
                         executor: to.executor,
                         task: order.task,
                         run: order.run,
                         sent: Time::from_millis(session.now),
                         clock_ms,
-                        answer,
+                        response,
                     });
                 }
                 Effect::Stop(to, task, run) => session.handle(Event::StopAnswered {
                     executor: to.executor,
                     task,
                     run,
-                    answer: OrderAnswer::Done,
+                    response: OrderResponse::Done,
                 }),
-                Effect::Look(to, _) => session.report(to.executor.as_str(), &[], &[], 0),
+                Effect::Poll(to, _) => session.report(to.executor.as_str(), &[], &[], 0),
                 _ => {}
             }
         }
@@ -52,29 +52,29 @@
 }
 
 #[test]
-fn a_start_that_every_executor_refuses_is_repeated_with_pauses() {
-    // Guards against one order that nobody can carry out and that fills the store and all executors.
-    let refusals = [
-        StartAnswer::Malformed,
-        StartAnswer::Outdated,
-        StartAnswer::Late,
-        StartAnswer::NoRoom,
-        StartAnswer::Unhealthy,
-        StartAnswer::NotSent,
-        StartAnswer::Lost,
+fn a_start_that_every_executor_rejects_is_repeated_with_pauses() {
+    // Without pauses one impossible order would overload the store and all executors.
+    let rejections = [
+        StartResponse::Malformed,
+        StartResponse::Outdated,
+        StartResponse::Late,
+        StartResponse::NoRoom,
+        StartResponse::Unhealthy,
+        StartResponse::NotSent,
+        StartResponse::Lost,
     ];
-    for refusal in refusals {
-        let starts = starts_answered(refusal, vec![step(1)]);
+    for rejection in rejections {
+        let starts = count_starts(rejection, vec![step(1)]);
 
-        assert!((2..=MOST).contains(&starts), "{refusal}: {starts} starts");
+        assert!((2..=MAX_STARTS).contains(&starts), "{rejection}: {starts} starts");
     }
 }
 
 #[test]
-fn a_gang_that_is_refused_is_repeated_with_pauses() {
+fn a_rejected_gang_is_repeated_with_pauses() {
     let gang = Step { gang: true, ..step(3) };
 
-    let starts = starts_answered(StartAnswer::Outdated, vec![gang]);
+    let starts = count_starts(StartResponse::Outdated, vec![gang]);
 
-    assert!((6..=3 * MOST).contains(&starts), "{starts} starts");
+    assert!((6..=3 * MAX_STARTS).contains(&starts), "{starts} starts");
 }
