--- a/crates/borageswitch_scheduler/src/ledger/crashes.rs
+++ b/crates/borageswitch_scheduler/src/ledger/crashes.rs
@@ -7,7 +7,7 @@
 
 use borageswitch_types::{names::ExecutorName, time::UnixMillis};
 
-use crate::{policy::blame, task::TaskKey};
+use crate::{policy::crash_attribution, task::TaskKey};
 
 /// The most crashes that are kept of one task, the newest ones.
 const MOST_KEPT: usize = 32;
@@ -79,5 +79,5 @@
 /// Drops the crashes that a run of the task has outlived.
 pub(super) fn outlive(crashes: &mut Vec<Crash>, lived_ms: u64) {
     let lived = Duration::from_millis(lived_ms);
-    crashes.retain(|crash| !blame::refutes(lived, crash));
+    crashes.retain(|crash| !crash_attribution::refutes(lived, crash));
 }
--- a/crates/borageswitch_scheduler/src/policy/tests.rs
+++ b/crates/borageswitch_scheduler/src/policy/tests.rs
@@ -5,12 +5,12 @@
 use borageswitch_types::Time;
 
 use super::{
+    circuit_breaker::Trust,
     last_chance::{self, Allowance},
     order::{Class, JobView, Urgency},
-    pacing,
-    placing::{self, Candidate},
+    placement::{self, Candidate},
+    speed_limits,
     stragglers::{self, ShortRun},
-    trust::Trust,
 };
 use crate::job::Size;
 
@@ -103,7 +103,7 @@
             siblings: 0,
             rack_siblings: 0,
         });
-        let chosen = placing::choose(&cores(1), candidates).unwrap();
+        let chosen = placement::choose(&cores(1), candidates).unwrap();
         hosts[chosen] = hosts[chosen].less(&cores(1));
     }
 
@@ -130,7 +130,7 @@
     };
     let candidates = [candidate(0, true, true), candidate(1, false, false)];
 
-    let chosen = placing::choose(&cores(1), candidates);
+    let chosen = placement::choose(&cores(1), candidates);
 
     assert_eq!(chosen, Some(1));
 }
@@ -184,11 +184,11 @@
     // its neighbours would keep its users waiting for the length of the whole descent.
     let mut pace = 100;
     for tail_percent in [130, 130, 130] {
-        pace = pacing::next_pace(pace, tail_percent);
+        pace = speed_limits::next_pace(pace, tail_percent);
     }
     assert_eq!(pace, 0);
 
-    let back = pacing::next_pace(pace, 30);
+    let back = speed_limits::next_pace(pace, 30);
 
     assert!(back > 0 && back < 50, "{back}");
 }
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -17,7 +17,7 @@
 use crate::{
     event::Now,
     fleet::HostState,
-    policy::blame,
+    policy::crash_attribution,
     reducer::{
         Scheduler,
         executors::{Executor, Phase},
@@ -260,7 +260,10 @@
 fn started_on(crashed: &[&EndedExecutor]) -> BTreeMap<JobName, usize> {
     let mut started_on: BTreeMap<JobName, usize> = BTreeMap::new();
     for executor in crashed {
-        let soon = executor.runs.iter().filter(|lost| lost.age.is_some_and(|a| a <= blame::SOON));
+        let soon = executor
+            .runs
+            .iter()
+            .filter(|lost| lost.age.is_some_and(|a| a <= crash_attribution::SOON));
         let jobs: BTreeSet<&JobName> = soon.map(|lost| &lost.task.job).collect();
         for job in jobs {
             *started_on.entry(job.clone()).or_default() += 1;
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -9,7 +9,7 @@
     executor::Registration,
     job::Size,
     life,
-    policy::{quotas::Charge, trust::Trust},
+    policy::{circuit_breaker::Trust, quotas::Charge},
     reducer::{clock::ClockReading, crashes::LostRun, pace::FULL_PACE},
     task::TaskKey,
 };
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -10,7 +10,7 @@
     event::Now,
     job::{Size, Step},
     ledger::job::{Job, Occurrence, StepState},
-    policy::{blame::Standing, order::Urgency},
+    policy::{crash_attribution::Standing, order::Urgency},
     reducer::{
         Scheduler,
         executors::Executor,
--- a/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
@@ -1,5 +1,5 @@
 //! Tasks whose starts have come to nothing wait before they are started again; for how long,
-//! [`crate::policy::start_pauses`] decides.
+//! [`crate::policy::start_backoff`] decides.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::{
     event::{Now, StartAnswer},
-    policy::start_pauses,
+    policy::start_backoff,
     reducer::{Scheduler, waiting::WaitingStep},
     task::TaskKey,
 };
@@ -29,7 +29,7 @@
         let none = Failed { in_a_row: 0, not_before: now };
         let failed = self.by_task.entry(task.clone()).or_insert(none);
         failed.in_a_row += 1;
-        failed.not_before = now + start_pauses::pause(failed.in_a_row);
+        failed.not_before = now + start_backoff::pause(failed.in_a_row);
     }
 
     /// Whether a task is not to be started yet.
--- a/crates/borageswitch_scheduler/src/reducer/gangs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gangs.rs
@@ -8,7 +8,7 @@
 use crate::{
     event::Now,
     job::{Size, Step},
-    policy::blame::Standing,
+    policy::crash_attribution::Standing,
     reducer::{Scheduler, places::reserved, rooms::Room, waiting::WaitingStep},
     task::TaskKey,
 };
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -17,7 +17,7 @@
         job::{Job, Occurrence},
         record::{Leftover, Outcome, Record},
     },
-    policy::{order::JobView, shares::JobRate},
+    policy::{caller_shares::JobRate, order::JobView},
     reducer::{Scheduler, executors::Held},
     task::TaskKey,
 };
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -79,7 +79,7 @@
     effect::{Effect, LogLine},
     event::{Event, Now},
     ledger::{Ledger, record::Record},
-    policy::{learned::Learned, shares::JobRate},
+    policy::{caller_shares::JobRate, runtime_estimates::Learned},
     reducer::{
         advice::Advice, crashes::EndedExecutor, executor_table::ExecutorTable,
         failed_starts::FailedStarts, host_list::Fleet, jobs::JobTimes, kept_room::KeptRoom,
--- a/crates/borageswitch_scheduler/src/reducer/pace.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pace.rs
@@ -1,11 +1,11 @@
-//! Work that fills gaps is slowed beside work that serves; the decision is in [`crate::policy::pacing`].
+//! Work that fills gaps is slowed beside work that serves; the decision is in [`crate::policy::speed_limits`].
 
 use borageswitch_types::names::ExecutorName;
 
 use crate::{
     effect::Effect,
     event::OrderAnswer,
-    policy::pacing,
+    policy::speed_limits,
     reducer::{
         Scheduler,
         executors::{Executor, Held, Phase},
@@ -77,7 +77,9 @@
     match served {
         Served::Nobody => Some(FULL_PACE),
         Served::NotYet => None,
-        Served::Tail(percent) => Some(pacing::next_pace(held.pace.unwrap_or(FULL_PACE), percent)),
+        Served::Tail(percent) => {
+            Some(speed_limits::next_pace(held.pace.unwrap_or(FULL_PACE), percent))
+        }
     }
 }
 
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -11,7 +11,7 @@
     event::Now,
     job::Size,
     ledger::record::Record,
-    policy::{blame::Standing, last_chance::Allowance, order::Urgency},
+    policy::{crash_attribution::Standing, last_chance::Allowance, order::Urgency},
     reducer::{
         Scheduler,
         executors::Phase,
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -8,8 +8,8 @@
     event::Now,
     job::{Size, Step},
     policy::{
-        blame::Standing,
-        placing::{self, Candidate},
+        crash_attribution::Standing,
+        placement::{self, Candidate},
     },
     reducer::{Scheduler, executors::Executor, rooms::Room},
     task::{StepKey, TaskKey},
@@ -43,8 +43,8 @@
         let open = self.places.iter().filter(|place| place.more != Some(0));
         let open = open.map(|place| place.candidate);
         let best = match standing {
-            Standing::Clear | Standing::Suspect => placing::choose(size, open)?,
-            Standing::Isolated => placing::choose_apart(size, open)?,
+            Standing::Clear | Standing::Suspect => placement::choose(size, open)?,
+            Standing::Isolated => placement::choose_apart(size, open)?,
             Standing::Culprit => return None,
         };
         let place = &mut self.places[best];
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -18,7 +18,7 @@
     executor::Registration,
     job::Size,
     ledger::{Ledger, host_orders::HostOrders, job::Job, record::Record},
-    policy::learned::Learned,
+    policy::runtime_estimates::Learned,
     reducer::{
         Limits, Scheduler,
         advice::Advice,
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -1,4 +1,4 @@
-//! Tasks under which executors have crashed; how they are treated, [`crate::policy::blame`] decides.
+//! Tasks under which executors have crashed; how they are treated, [`crate::policy::crash_attribution`] decides.
 //!
 //! A suspect is started again, away from other suspects, until one of its runs has lived for long
 //! enough, or the evidence against it suffices and its job has failed.
@@ -18,7 +18,7 @@
         record::Record,
     },
     policy::{
-        blame::{self, Present, Standing},
+        crash_attribution::{self, Present, Standing},
         crash_rate::{History, Site},
     },
     reducer::{
@@ -29,9 +29,9 @@
 };
 
 /// How long a run of unknown age is taken to have been there: an earlier leader started it.
-const UNKNOWN_AGE: Duration = blame::SOON;
+const UNKNOWN_AGE: Duration = crash_attribution::SOON;
 /// How long nothing is started on an executor after a start of an isolated task.
-const ISOLATION: Duration = blame::SOON;
+const ISOLATION: Duration = crash_attribution::SOON;
 
 /// The suspects that run, and what is remembered of crashes.
 #[derive(Debug, Default)]
@@ -104,15 +104,16 @@
         let jobs: BTreeSet<JobName> = runs.iter().map(|lost| lost.task.job.clone()).collect();
         self.count_crash(&jobs);
         let present: Vec<Present> = jobs.iter().map(|job| self.present(job, &runs)).collect();
-        let shares: BTreeMap<&JobName, f64> = jobs.iter().zip(blame::shares(&present)).collect();
+        let shares: BTreeMap<&JobName, f64> =
+            jobs.iter().zip(crash_attribution::shares(&present)).collect();
         let suspicions = runs.iter().filter_map(|lost| {
             let job = &lost.task.job;
             let started_on = started_on.get(job).copied().unwrap_or(0);
-            if !blame::has_common_cause(others, started_on) {
+            if !crash_attribution::has_common_cause(others, started_on) {
                 let evidence = self.evidence(now, ended, lost, shares[job]);
                 return Some(suspicion(now, ended, lost, evidence));
             }
-            blame::is_soon(lost.lived).then(|| suspicion(now, ended, lost, 0))
+            crash_attribution::is_soon(lost.lived).then(|| suspicion(now, ended, lost, 0))
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         self.suspects.history.note(now.time, ended.host().cloned(), jobs);
@@ -123,7 +124,7 @@
     /// were started there. It says nothing against them, but counts for the bound on restarts: a
     /// crash may be hidden by a drain, or have been seen by a leader that could not store it.
     pub(super) fn take_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let soon = ended.runs.iter().filter(|lost| blame::is_soon(lost.lived));
+        let soon = ended.runs.iter().filter(|lost| crash_attribution::is_soon(lost.lived));
         let suspicions = soon.map(|lost| suspicion(now, ended, lost, 0));
         self.suspect(suspicions.collect());
     }
@@ -143,7 +144,7 @@
         let site =
             Site { job: &lost.task.job, host: ended.host(), executors: self.executors.len() };
         let rate = self.suspects.history.rate(now.time, self.began, &site);
-        blame::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
+        crash_attribution::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
     /// A job as one of those that ran on an executor: its task that is the likeliest cause.
@@ -177,7 +178,7 @@
         let steps = &job.submission.spec.steps;
         let tasks: usize = steps.iter().map(|step| step.count as usize).sum();
         let crashes = self.ledger.suspects_of(name).flat_map(|(_, crashes)| crashes);
-        blame::is_certain_of_job(crashes, tasks * job.progress.open.len().max(1))
+        crash_attribution::is_certain_of_job(crashes, tasks * job.progress.open.len().max(1))
     }
 
     fn give_up_culprit(&mut self, task: &TaskKey) {
@@ -206,7 +207,9 @@
                 let held = known.and_then(|known| Some(known.lived(known.runs.get(task)?)));
                 let crashes = self.ledger.crashes_under(task);
                 match held {
-                    Some(lived) if crashes.iter().any(|crash| blame::refutes(lived, crash)) => {
+                    Some(lived)
+                        if crashes.iter().any(|crash| crash_attribution::refutes(lived, crash)) =>
+                    {
                         outlived.push((executor.clone(), task.clone(), lived.as_millis() as u64));
                     }
                     Some(_) if !crashes.is_empty() => {}
