--- a/crates/borageswitch_scheduler/src/ledger/crashes.rs
+++ b/crates/borageswitch_scheduler/src/ledger/crashes.rs
@@ -1,4 +1,4 @@
-//! Executors that crashed while a task ran there.
+//! Crashes of executors, as evidence against the tasks that ran there.
 
 use std::{
     fmt,
@@ -9,27 +9,27 @@
 
 use crate::{policy::crash_attribution, task::TaskKey};
 
-/// The most crashes that are kept of one task, the newest ones.
-const MOST_KEPT: usize = 32;
+/// The maximum number of crashes that are kept for a task; the oldest are dropped.
+const MAX_KEPT: usize = 32;
 
-/// One executor that crashed while a task ran there.
+/// The crash of an executor while a task ran there.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Crash {
     /// The executor.
     pub executor: ExecutorName,
-    /// When the leader learned of it, by its wall clock.
+    /// When the leader noticed it, by its wall clock.
     pub at: UnixMillis,
-    /// The run that went with it.
+    /// The run of the task that was lost with it.
     pub run: u32,
-    /// How long that run was there at most, in milliseconds.
+    /// The maximum time that the run had lived, in milliseconds.
     pub age_ms: u64,
-    /// How long it was there at least, in milliseconds.
+    /// The minimum time that the run had lived, in milliseconds.
     pub lived_ms: u64,
-    /// How strongly it speaks against the task, in thousandths of a power of ten.
+    /// The evidence against the task, in thousandths of a power of ten.
     pub evidence: u32,
 }
 
-/// What a crash means for one of the tasks that ran there.
+/// A crash as evidence against one of the tasks that ran there.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Suspicion {
     /// The task.
@@ -38,12 +38,12 @@
     pub crash: Crash,
 }
 
-/// A task that was given up because executors crash under it.
+/// A task that was given up because it crashes executors.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct GivenUp {
     /// The task.
     pub task: TaskKey,
-    /// The crashes that spoke against it, oldest first.
+    /// The crashes that counted against it, oldest first.
     pub crashes: Vec<Crash>,
 }
 
@@ -64,20 +64,20 @@
     }
 }
 
-/// Adds a crash unless it is known, and drops those that its run has outlived.
+/// Adds a crash unless it is known, and removes those from which its run exonerates the task.
 pub(super) fn add(crashes: &mut Vec<Crash>, crash: &Crash) {
     if crashes.iter().any(|known| known.executor == crash.executor) {
         return;
     }
-    outlive(crashes, crash.lived_ms);
+    clear_survived(crashes, crash.lived_ms);
     crashes.push(crash.clone());
-    if crashes.len() > MOST_KEPT {
+    if crashes.len() > MAX_KEPT {
         crashes.remove(0);
     }
 }
 
-/// Drops the crashes that a run of the task has outlived.
-pub(super) fn outlive(crashes: &mut Vec<Crash>, lived_ms: u64) {
+/// Removes the crashes from which a run that has lived for `lived_ms` exonerates its task.
+pub(super) fn clear_survived(crashes: &mut Vec<Crash>, lived_ms: u64) {
     let lived = Duration::from_millis(lived_ms);
     crashes.retain(|crash| !crash_attribution::refutes(lived, crash));
 }
--- a/crates/borageswitch_scheduler/src/ledger/job.rs
+++ b/crates/borageswitch_scheduler/src/ledger/job.rs
@@ -1,4 +1,4 @@
-//! How a job stands: its occurrences, their steps and tasks.
+//! The state of a job: its occurrences, their steps and tasks.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
     task::TaskKey,
 };
 
-/// Where a run of a task was ordered.
+/// The executor on which a run of a task was ordered.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Assignment {
     /// The executor.
@@ -19,18 +19,18 @@
     pub run: u32,
 }
 
-/// How a task stands.
+/// The state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TaskState {
-    /// The highest number that a run of it has had; 0 before the first.
+    /// The highest number of its runs so far; 0 before the first.
     pub last_run: u32,
-    /// How often it has failed.
+    /// The number of its failures.
     pub failures: u16,
-    /// It is done.
+    /// Whether it is done.
     pub done: bool,
-    /// What it saved last.
+    /// Its last checkpoint.
     pub checkpoint: Option<Arc<str>>,
-    /// Where it runs, or may be running.
+    /// The run that is ordered, and may be running.
     pub assigned: Option<Assignment>,
 }
 
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Whether it waits for a host, as far as the task itself is concerned.
+    /// Returns whether the task itself is ready to be placed; its step may still be blocked.
     pub fn is_waiting(&self) -> bool {
         !self.done && self.assigned.is_none()
     }
 }
 
-/// How a step of an occurrence stands.
+/// The state of a step of an occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StepState {
     /// Its tasks.
     pub tasks: Vec<TaskState>,
-    /// How many of them are done.
+    /// The number of tasks that are done.
     pub done: u32,
 }
 
@@ -66,13 +66,13 @@
         Self { tasks: vec![TaskState::default(); step.count as usize], done: 0 }
     }
 
-    /// Whether every task is done.
+    /// Returns whether every task is done.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 }
 
-/// How one occurrence of a job's steps stands.
+/// The state of one occurrence of a job's steps.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Occurrence {
     /// Its steps.
@@ -80,7 +80,7 @@
 }
 
 impl Occurrence {
-    /// Whether every step is done.
+    /// Returns whether every step is done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
@@ -89,25 +89,25 @@
 /// The part of a job that changes while it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Progress {
-    /// Occurrences that have begun and are not done.
+    /// The occurrences that have begun and are not done.
     pub open: BTreeMap<u32, Occurrence>,
-    /// How many occurrences have begun.
+    /// The number of occurrences that have begun.
     pub begun: u32,
-    /// A task of it was started at least once.
+    /// Whether a task of the job was ever started.
     pub started: bool,
 }
 
 /// A job that has not ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// What was handed in.
+    /// The job as it was submitted.
     pub submission: Arc<Submission>,
-    /// How far it is.
+    /// Its progress.
     pub progress: Progress,
 }
 
 impl Job {
-    /// A job that was just accepted. One without a schedule begins at once.
+    /// Creates a job that has just been accepted. One without a schedule begins at once.
     pub fn new(submission: Arc<Submission>) -> Self {
         let mut job = Self { submission, progress: Progress::default() };
         if job.submission.spec.schedule.is_none() {
@@ -116,7 +116,7 @@
         job
     }
 
-    /// The occurrence is due: its tasks may run.
+    /// Begins an occurrence that is due: its tasks may run.
     pub(super) fn begin_occurrence(&mut self, occurrence: u32) {
         if occurrence < self.progress.begun {
             return;
@@ -126,48 +126,49 @@
         self.progress.begun = occurrence + 1;
     }
 
-    /// Whether nothing has happened to the job since it was accepted: its description tells all.
+    /// Returns whether nothing has happened to the job since it was accepted, so that its
+    /// submission describes its whole state.
     pub fn is_untouched(&self) -> bool {
-        let at_first = if self.submission.spec.schedule.is_some() { 0 } else { 1 };
-        !self.progress.started && self.progress.begun == at_first
+        let begun_at_first = if self.submission.spec.schedule.is_some() { 0 } else { 1 };
+        !self.progress.started && self.progress.begun == begun_at_first
     }
 
-    /// Whether a task of it is known to have run, by an end that is stored.
-    pub fn has_ends(&self) -> bool {
+    /// Returns whether a task of the job is known to have run, by a stored end.
+    pub fn has_stored_ends(&self) -> bool {
         let ended = |step: &StepState| step.done > 0 || step.tasks.iter().any(|t| t.failures > 0);
         let mut open = self.progress.open.values();
         self.progress.begun as usize > open.len()
             || open.any(|occurrence| occurrence.steps.iter().any(ended))
     }
 
-    /// Whether every occurrence has begun and is done.
+    /// Returns whether every occurrence has begun and is done.
     pub fn is_done(&self) -> bool {
         self.progress.open.is_empty() && self.progress.begun >= self.submission.spec.occurrences()
     }
 
-    /// The description of a step.
+    /// Returns the specification of a step.
     pub fn step(&self, step: u16) -> Option<&Step> {
         self.submission.spec.steps.get(usize::from(step))
     }
 
-    /// How a step of an open occurrence stands.
+    /// Returns the state of a step of an open occurrence.
     pub fn step_state(&self, occurrence: u32, step: u16) -> Option<&StepState> {
         self.progress.open.get(&occurrence)?.steps.get(usize::from(step))
     }
 
-    /// How a task stands.
+    /// Returns the state of a task of an open occurrence.
     pub fn task(&self, task: &TaskKey) -> Option<&TaskState> {
         self.step_state(task.occurrence, task.step)?.tasks.get(task.index as usize)
     }
 
     pub(super) fn task_mut(&mut self, task: &TaskKey) -> Option<&mut TaskState> {
-        // Whoever asks to change a task is about to assign or release it.
+        // Tasks are only changed to assign or release them.
         self.progress.started = true;
         let occurrence = self.progress.open.get_mut(&task.occurrence)?;
         occurrence.steps.get_mut(usize::from(task.step))?.tasks.get_mut(task.index as usize)
     }
 
-    /// Whether all steps that `step` waits for are done.
+    /// Returns whether all steps that `step` waits for are done.
     pub fn is_unblocked(&self, occurrence: &Occurrence, step: &Step) -> bool {
         step.after.iter().all(|&after| occurrence.steps[usize::from(after)].is_done())
     }
@@ -176,7 +177,7 @@
         &mut self,
         task: &TaskKey,
         run: u32,
-        how: EndKind,
+        kind: EndKind,
         checkpoint: Option<&Arc<str>>,
     ) {
         let Some(step) = self.step(task.step).cloned() else { return };
@@ -187,9 +188,9 @@
         }
         let checkpoint = checkpoint.filter(|_| step.checkpointing);
         if step.gang {
-            end_of_gang(state, task, run, how, checkpoint);
+            end_of_gang(state, task, run, kind, checkpoint);
         } else {
-            end_of_task(state, &step, task, run, how, checkpoint);
+            end_of_task(state, &step, task, run, kind, checkpoint);
         }
         if occurrence.is_done() {
             self.progress.open.remove(&task.occurrence);
@@ -197,12 +198,13 @@
     }
 }
 
+/// Applies the end of a task that does its work alone.
 fn end_of_task(
     state: &mut StepState,
     step: &Step,
     key: &TaskKey,
     run: u32,
-    how: EndKind,
+    kind: EndKind,
     checkpoint: Option<&Arc<str>>,
 ) {
     let task = &mut state.tasks[key.index as usize];
@@ -210,7 +212,7 @@
     if let Some(checkpoint) = checkpoint {
         task.checkpoint = Some(checkpoint.clone());
     }
-    match how {
+    match kind {
         EndKind::Done if !step.lasting => {
             task.done = true;
             task.assigned = None;
@@ -221,16 +223,17 @@
     }
 }
 
-/// The members of a gang end together: one that is done stands for all, and one that failed is a
-/// failure of the whole gang, counted once a run whoever reports it first.
+/// Applies the end of a gang member. The members of a gang end together: one that is done completes
+/// all of them, and one that failed is a failure of the whole gang. It is counted once per run, as
+/// the other members are reported as broken.
 fn end_of_gang(
     state: &mut StepState,
     key: &TaskKey,
     run: u32,
-    how: EndKind,
+    kind: EndKind,
     checkpoint: Option<&Arc<str>>,
 ) {
-    if how == EndKind::Done {
+    if kind == EndKind::Done {
         for task in &mut state.tasks {
             task.done = true;
             task.assigned = None;
@@ -243,7 +246,7 @@
             task.checkpoint = Some(checkpoint.clone());
         }
     }
-    if how == EndKind::Failed {
+    if kind == EndKind::Failed {
         for task in &mut state.tasks {
             task.failures = task.failures.saturating_add(1);
         }
--- a/crates/borageswitch_scheduler/src/ledger/mod.rs
+++ b/crates/borageswitch_scheduler/src/ledger/mod.rs
@@ -1,8 +1,8 @@
-//! Jobs, runs and ends: all that must outlive the daemon that leads.
+//! The ledger: the persistent state of jobs and runs, which survives the leading daemon.
 //!
-//! [`record`] lists what can happen to a job; [`Ledger::apply`] is the only way in which the ledger
-//! changes. A new leader reads the last [`Snapshot`](snapshot::Snapshot) and the records after it,
-//! and arrives at the ledger that its predecessor had stored.
+//! [`record`] lists the changes of the ledger. Apart from new jobs, the ledger changes only by
+//! [`Ledger::apply`]. A new leader reads the last [`Snapshot`](snapshot::Snapshot) and the records
+//! after it, which restores the ledger that its predecessor had stored.
 
 pub mod crashes;
 pub mod host_orders;
@@ -27,14 +27,14 @@
         crashes::{Crash, GivenUp, Suspicion},
         host_orders::HostOrders,
         job::Job,
-        record::{Leftover, Outcome, Record},
+        record::{LingeringRun, Outcome, Record},
     },
     task::TaskKey,
 };
 
-/// How long a job's outcome is kept after its end: the two minutes that callers are promised and
-/// half a minute for clocks that differ and for callers that ask late.
-pub const KEEP_OUTCOME: Duration = Duration::from_secs(150);
+/// How long the outcome of a job is kept after its end: the two minutes that callers are promised,
+/// and half a minute for differing clocks and late requests.
+pub const OUTCOME_RETENTION: Duration = Duration::from_secs(150);
 
 /// A job that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -43,35 +43,36 @@
     pub queue: QueueName,
     /// How it ended.
     pub outcome: Outcome,
-    /// When, by the leader's wall clock.
+    /// When it ended, by the wall clock of the leader.
     pub at: UnixMillis,
 }
 
-/// Jobs, runs and ends.
+/// The persistent state of jobs, runs and orders for hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
     /// Jobs that have not ended.
     pub jobs: BTreeMap<JobName, Job>,
     /// Jobs that have ended.
     pub finished: BTreeMap<JobName, Finished>,
-    /// For each executor the highest number of an end that was taken in.
-    pub seen: BTreeMap<ExecutorName, u64>,
-    /// The orders that hosts were given of late.
+    /// For each executor, the highest number of a processed end.
+    pub last_ends: BTreeMap<ExecutorName, u64>,
+    /// The recent orders for hosts.
     pub host_orders: HostOrders,
-    /// For each wave the hosts whose maintenance has begun.
+    /// For each wave, the hosts whose maintenance has begun.
     pub maintained: BTreeMap<u64, Vec<HostName>>,
-    /// Waves that were reported as completed.
+    /// The waves that were reported as completed.
     pub completed_waves: Vec<u64>,
-    /// Runs of jobs that have ended, which count for a quota until they have ended as well.
-    pub leftovers: BTreeMap<TaskKey, Leftover>,
-    /// Tasks under which executors have crashed, since they last ran for long enough without.
+    /// Runs of ended jobs that have not ended themselves and still count for a quota.
+    pub lingering_runs: BTreeMap<TaskKey, LingeringRun>,
+    /// Tasks under which executors have crashed, with the crashes since a run last exonerated the
+    /// task.
     pub suspects: BTreeMap<TaskKey, Vec<Crash>>,
-    /// Jobs that have failed because executors crash under a task of theirs.
+    /// Jobs that have failed because one of their tasks crashes executors.
     pub given_up: BTreeMap<JobName, GivenUp>,
 }
 
 impl Ledger {
-    /// Takes in a job unless it is known. Gives whether it is new.
+    /// Adds a job unless it is known, and returns whether it is new.
     pub fn submit(&mut self, submission: Arc<Submission>) -> bool {
         let name = submission.job.clone();
         if self.finished.contains_key(&name) || self.jobs.contains_key(&name) {
@@ -81,27 +82,27 @@
         true
     }
 
-    /// What a record makes of the ledger.
+    /// Applies a record.
     ///
-    /// A record about a job that is not there changes nothing: the job has ended since.
+    /// A record about an unknown job has no effect: the job has ended since.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Assigned { task, run, executor } => self.assign(task, *run, executor),
             Record::Released { task, run } => {
-                self.clear_leftover(task, *run);
+                self.clear_lingering_run(task, *run);
                 self.release(task, *run);
             }
-            Record::Leftover { task, leftover } => {
-                self.leftovers.insert(task.clone(), leftover.clone());
+            Record::LingeringRun { task, lingering } => {
+                self.lingering_runs.insert(task.clone(), lingering.clone());
             }
-            Record::Ended { executor, number, task, run, how, checkpoint } => {
-                self.clear_leftover(task, *run);
-                let seen = self.seen.entry(executor.clone()).or_default();
-                if *number > *seen {
-                    *seen = *number;
-                    self.end(task, *run, *how, checkpoint.as_ref());
-                    if matches!(how, EndKind::Done | EndKind::Failed) {
-                        // An executor has started it and lived on.
+            Record::Ended { executor, number, task, run, kind, checkpoint } => {
+                self.clear_lingering_run(task, *run);
+                let last_end = self.last_ends.entry(executor.clone()).or_default();
+                if *number > *last_end {
+                    *last_end = *number;
+                    self.end(task, *run, *kind, checkpoint.as_ref());
+                    if matches!(kind, EndKind::Done | EndKind::Failed) {
+                        // The executor has survived the run.
                         self.suspects.remove(task);
                     }
                 }
@@ -117,19 +118,19 @@
                 let finished = Finished { queue: queue.clone(), outcome: *outcome, at: *at };
                 self.finished.insert(job.clone(), finished);
             }
-            Record::Forgotten { before } => {
+            Record::OutcomesDropped { before } => {
                 self.finished.retain(|_, finished| finished.at >= *before);
                 let Self { jobs, finished, given_up, .. } = self;
                 given_up.retain(|job, _| jobs.contains_key(job) || finished.contains_key(job));
             }
             Record::ExecutorGone { executor } => {
-                self.seen.remove(executor);
-                self.leftovers.retain(|_, leftover| leftover.executor != *executor);
+                self.last_ends.remove(executor);
+                self.lingering_runs.retain(|_, lingering| lingering.executor != *executor);
             }
-            Record::TermBegan => self.host_orders.term_began(),
-            Record::Led { millis } => self.host_orders.led(*millis),
+            Record::TermBegan => self.host_orders.begin_term(),
+            Record::TermTime { millis } => self.host_orders.set_term_time(*millis),
             Record::HostOrdered { host } => self.host_orders.ordered(host),
-            Record::HostOrderSettled { host, millis } => self.host_orders.settled(host, *millis),
+            Record::HostOrderAnswered { host, millis } => self.host_orders.answered(host, *millis),
             Record::Maintained { wave, host } => {
                 let hosts = self.maintained.entry(*wave).or_default();
                 if !hosts.contains(host) {
@@ -137,9 +138,9 @@
                 }
             }
             Record::Crashed { suspicions } => {
-                suspicions.iter().for_each(|suspicion| self.suspect(suspicion));
+                suspicions.iter().for_each(|suspicion| self.add_suspicion(suspicion));
             }
-            Record::Lived { task, millis } => self.outlive(task, *millis),
+            Record::Survived { task, millis } => self.clear_survived(task, *millis),
             Record::GivenUp { task } => {
                 let crashes = self.suspects.remove(task).unwrap_or_default();
                 let given_up = GivenUp { task: task.clone(), crashes };
@@ -153,7 +154,7 @@
         }
     }
 
-    fn suspect(&mut self, suspicion: &Suspicion) {
+    fn add_suspicion(&mut self, suspicion: &Suspicion) {
         let task = &suspicion.task;
         if self.task(task).is_some_and(|state| !state.done) {
             let crashes = self.suspects.entry(task.clone()).or_default();
@@ -161,23 +162,23 @@
         }
     }
 
-    fn outlive(&mut self, task: &TaskKey, lived_ms: u64) {
+    fn clear_survived(&mut self, task: &TaskKey, lived_ms: u64) {
         let Some(crashes) = self.suspects.get_mut(task) else { return };
-        crashes::outlive(crashes, lived_ms);
+        crashes::clear_survived(crashes, lived_ms);
         if crashes.is_empty() {
             self.suspects.remove(task);
         }
     }
 
-    /// The suspects among the tasks of a job.
+    /// Returns the tasks of a job under which executors have crashed, with the crashes.
     pub fn suspects_of(&self, job: &JobName) -> impl Iterator<Item = (&TaskKey, &Vec<Crash>)> {
         let first = TaskKey { job: job.clone(), occurrence: 0, step: 0, index: 0 };
         let from = self.suspects.range(first..);
         from.take_while(move |(task, _)| task.job == *job)
     }
 
-    /// The crashes that speak against a task.
-    pub fn crashes_under(&self, task: &TaskKey) -> &[Crash] {
+    /// Returns the crashes that count against a task.
+    pub fn crashes_of(&self, task: &TaskKey) -> &[Crash] {
         self.suspects.get(task).map(Vec::as_slice).unwrap_or_default()
     }
 
@@ -193,19 +194,19 @@
         }
     }
 
-    fn clear_leftover(&mut self, task: &TaskKey, run: u32) {
-        if self.leftovers.get(task).is_some_and(|leftover| leftover.run == run) {
-            self.leftovers.remove(task);
+    fn clear_lingering_run(&mut self, task: &TaskKey, run: u32) {
+        if self.lingering_runs.get(task).is_some_and(|lingering| lingering.run == run) {
+            self.lingering_runs.remove(task);
         }
     }
 
-    fn end(&mut self, task: &TaskKey, run: u32, how: EndKind, checkpoint: Option<&Arc<str>>) {
+    fn end(&mut self, task: &TaskKey, run: u32, kind: EndKind, checkpoint: Option<&Arc<str>>) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.end(task, run, how, checkpoint);
+            job.end(task, run, kind, checkpoint);
         }
     }
 
-    /// The state of a task of a job that has not ended.
+    /// Returns the state of a task of a job that has not ended.
     pub fn task(&self, task: &TaskKey) -> Option<&job::TaskState> {
         self.jobs.get(&task.job)?.task(task)
     }
--- a/crates/borageswitch_scheduler/src/ledger/record.rs
+++ b/crates/borageswitch_scheduler/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What can happen to a job, as it is stored.
+//! The records of the ledger: everything that can happen to a job, as it is stored.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
     /// Every task is done.
     #[display("completed")]
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has used up its attempts.
     #[display("failed")]
     Failed,
     /// Its caller cancelled it.
@@ -30,44 +30,44 @@
 /// One change of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Record {
-    /// A run is about to be started. Stored before the order leaves, so that whoever leads next
-    /// knows where the task may be running.
+    /// A run is about to be started. Stored before the order is sent, so that the next leader knows
+    /// where the task may be running.
     Assigned {
         /// The task.
         task: TaskKey,
         /// The run.
         run: u32,
-        /// Where.
+        /// The executor.
         executor: ExecutorName,
     },
-    /// It is proved that a run does not run and never will.
+    /// It is proved that a run neither runs nor ever will.
     Released {
         /// The task.
         task: TaskKey,
         /// The run.
         run: u32,
     },
-    /// A run ended. Stored before the end is acknowledged: the executor forgets it then, and a
-    /// task whose end nobody knows would run again.
+    /// A run ended. Stored before the end is acknowledged: the executor discards it then, and a
+    /// task whose end is unknown would run again.
     Ended {
-        /// Who listed the end.
+        /// The executor that reported the end.
         executor: ExecutorName,
-        /// Counts the executor's ends.
+        /// The sequence number of the end on this executor.
         number: u64,
         /// The task.
         task: TaskKey,
         /// The run.
         run: u32,
         /// How it ended.
-        how: EndKind,
-        /// What it saved last.
+        kind: EndKind,
+        /// The last checkpoint of the run.
         checkpoint: Option<Arc<str>>,
     },
-    /// An occurrence of a timed job is due.
+    /// An occurrence of a scheduled job is due.
     Due {
         /// The job.
         job: JobName,
-        /// Which occurrence.
+        /// The occurrence.
         occurrence: u32,
     },
     /// A job has ended.
@@ -78,34 +78,35 @@
         queue: QueueName,
         /// How it ended.
         outcome: Outcome,
-        /// When.
+        /// When it ended, by the wall clock of the leader.
         at: UnixMillis,
     },
-    /// Outcomes from before this time are dropped.
-    Forgotten {
+    /// Outcomes of jobs that ended before this time are dropped.
+    OutcomesDropped {
         /// The time.
         before: UnixMillis,
     },
-    /// An executor's life is over: its ends will not be listed again.
+    /// The incarnation of an executor has ended: it will not report its ends again.
     ExecutorGone {
         /// The executor.
         executor: ExecutorName,
     },
-    /// Another leader has begun. The first record of each leader.
+    /// The term of another leader has begun. This is the first record of each leader.
     TermBegan,
-    /// The leader has led for so long. The last record of each append while orders for hosts are
-    /// kept in mind: it tells the next leader how old they are at least, on no clock but this one.
-    Led {
+    /// How long the leader has led. This is the last record of each append while recent orders for
+    /// hosts are kept: it tells the next leader the minimum age of these orders, measured by a
+    /// single clock.
+    TermTime {
         /// The time since the leader took over, in milliseconds.
         millis: u64,
     },
-    /// An order for a host is about to leave.
+    /// An order for a host is about to be sent.
     HostOrdered {
         /// The host.
         host: HostName,
     },
-    /// The platform has answered the last order for a host, so none is on its way any more.
-    HostOrderSettled {
+    /// The platform has responded to the last order for a host, so no order is in flight any more.
+    HostOrderAnswered {
         /// The host.
         host: HostName,
         /// The time since the leader took over, in milliseconds.
@@ -118,71 +119,71 @@
         /// The host.
         host: HostName,
     },
-    /// Every host of a wave that stays has been maintained.
+    /// Every remaining host of a wave has been maintained.
     WaveCompleted {
         /// The wave.
         wave: u64,
     },
-    /// A run of a job that ends may be on an executor still. Its job is forgotten with its end, so
-    /// without this the next leader would not count it for its caller's quota.
-    Leftover {
+    /// A run of an ending job may still be on an executor. The job is dropped with its end, so
+    /// without this record the next leader would not count the run for the caller's quota.
+    LingeringRun {
         /// The task.
         task: TaskKey,
-        /// What is left of it.
-        leftover: Leftover,
+        /// The run.
+        lingering: LingeringRun,
     },
-    /// An executor has crashed, and these tasks may be the cause. Kept in the leader's memory alone,
-    /// the count would begin anew with each leader.
+    /// An executor has crashed, and these tasks may be the cause. If the crashes were kept only in
+    /// the memory of the leader, each leader would count them anew.
     Crashed {
-        /// What it means for each of them.
+        /// The evidence against each of the tasks.
         suspicions: Vec<Suspicion>,
     },
-    /// A run of a task has lived for so long: crashes that came sooner say nothing against it.
-    Lived {
+    /// A run of a task has lived long enough to exonerate the task from earlier crashes.
+    Survived {
         /// The task.
         task: TaskKey,
-        /// How long, in milliseconds.
+        /// How long the run has lived, in milliseconds.
         millis: u64,
     },
-    /// A task is not started any more, as executors crash under it.
+    /// A task is not started any more, as it crashes executors.
     GivenUp {
         /// The task.
         task: TaskKey,
     },
 }
 
-/// A run of a job that has ended, which is being stopped.
+/// A run of an ended job that is being stopped.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Leftover {
-    /// Where it is.
+pub struct LingeringRun {
+    /// The executor that it is on.
     pub executor: ExecutorName,
     /// The run.
     pub run: u32,
-    /// The room that it takes.
+    /// The capacity that is reserved for it.
     pub size: Size,
-    /// What it uses of its caller's quota.
+    /// Its usage of the caller's quota.
     pub charge: Charge,
 }
 
 impl Record {
-    /// The job that it is about.
+    /// Returns the job that the record is about, if it is a single one.
     pub fn job(&self) -> Option<&JobName> {
         match self {
             Record::Assigned { task, .. }
             | Record::Released { task, .. }
             | Record::Ended { task, .. }
-            | Record::Lived { task, .. }
+            | Record::Survived { task, .. }
             | Record::GivenUp { task } => Some(&task.job),
             Record::Due { job, .. } | Record::Finished { job, .. } => Some(job),
-            Record::Forgotten { .. }
+            Record::OutcomesDropped { .. }
             | Record::ExecutorGone { .. }
             | Record::TermBegan
-            | Record::Led { .. }
+            | Record::TermTime { .. }
             | Record::HostOrdered { .. }
-            | Record::HostOrderSettled { .. }
+            | Record::HostOrderAnswered { .. }
             | Record::Maintained { .. }
             | Record::WaveCompleted { .. }
-            | Record::Leftover { .. }
+            | Record::LingeringRun { .. }
             | Record::Crashed { .. } => None,
         }
     }
--- a/crates/borageswitch_scheduler/src/ledger/snapshot.rs
+++ b/crates/borageswitch_scheduler/src/ledger/snapshot.rs
@@ -1,4 +1,4 @@
-//! The ledger at one point, as it is stored.
+//! The stored form of the ledger at one point.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,59 +11,59 @@
         crashes::{Crash, GivenUp},
         host_orders::HostOrders,
         job::{Job, Progress},
-        record::Leftover,
+        record::LingeringRun,
     },
     task::TaskKey,
 };
 
-/// The ledger without the jobs' descriptions: those are stored where the callers' requests were
+/// The ledger without the submissions of the jobs, which are stored when the callers' requests are
 /// accepted.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Snapshot {
-    /// The last append that is part of it.
+    /// The number of the last append that is included.
     pub through: u64,
-    /// Jobs that have begun.
+    /// The progress of jobs that have changed since they were accepted.
     pub jobs: BTreeMap<JobName, Progress>,
     /// Jobs that have ended.
     pub finished: BTreeMap<JobName, Finished>,
-    /// For each executor the highest number of an end that was taken in.
-    pub seen: BTreeMap<ExecutorName, u64>,
-    /// The orders that hosts were given of late.
+    /// For each executor, the highest number of a processed end.
+    pub last_ends: BTreeMap<ExecutorName, u64>,
+    /// The recent orders for hosts.
     pub host_orders: HostOrders,
-    /// For each wave the hosts whose maintenance has begun.
+    /// For each wave, the hosts whose maintenance has begun.
     pub maintained: BTreeMap<u64, Vec<HostName>>,
-    /// Waves that were reported as completed.
+    /// The waves that were reported as completed.
     pub completed_waves: Vec<u64>,
-    /// Runs of jobs that have ended, which count for a quota until they have ended as well. This and
-    /// the fields after it are younger than the layout: snapshots of earlier daemons end before them.
-    pub leftovers: BTreeMap<TaskKey, Leftover>,
+    /// Runs of ended jobs that have not ended themselves and still count for a quota. This field
+    /// and those after it were added later: snapshots of earlier daemons end before them.
+    pub lingering_runs: BTreeMap<TaskKey, LingeringRun>,
     /// Tasks under which executors have crashed.
     pub suspects: BTreeMap<TaskKey, Vec<Crash>>,
-    /// Jobs that have failed because executors crash under a task of theirs.
+    /// Jobs that have failed because one of their tasks crashes executors.
     pub given_up: BTreeMap<JobName, GivenUp>,
 }
 
 impl Snapshot {
-    /// The ledger after append `through`.
+    /// Creates the snapshot of the ledger after append `through`.
     pub fn of(ledger: &Ledger, through: u64) -> Self {
         let jobs = ledger.jobs.iter().filter(|(_, job)| !job.is_untouched());
         Self {
             through,
             jobs: jobs.map(|(name, job)| (name.clone(), job.progress.clone())).collect(),
             finished: ledger.finished.clone(),
-            seen: ledger.seen.clone(),
+            last_ends: ledger.last_ends.clone(),
             host_orders: ledger.host_orders.clone(),
             maintained: ledger.maintained.clone(),
             completed_waves: ledger.completed_waves.clone(),
-            leftovers: ledger.leftovers.clone(),
+            lingering_runs: ledger.lingering_runs.clone(),
             suspects: ledger.suspects.clone(),
             given_up: ledger.given_up.clone(),
         }
     }
 
-    /// The ledger again, with the descriptions of jobs as they were accepted.
+    /// Restores the ledger, with the submissions of jobs as they were accepted.
     ///
-    /// A submission of a job that has ended is left out: its caller sent it once more.
+    /// The submission of an ended job is skipped: its caller sent it again.
     pub fn restore<I>(self, submissions: I) -> Ledger
     where
         I: IntoIterator<Item = Arc<Submission>>,
@@ -71,11 +71,11 @@
         let mut ledger = Ledger {
             jobs: BTreeMap::new(),
             finished: self.finished,
-            seen: self.seen,
+            last_ends: self.last_ends,
             host_orders: self.host_orders,
             maintained: self.maintained,
             completed_waves: self.completed_waves,
-            leftovers: self.leftovers,
+            lingering_runs: self.lingering_runs,
             suspects: self.suspects,
             given_up: self.given_up,
         };
--- a/crates/borageswitch_scheduler/src/ledger/tests.rs
+++ b/crates/borageswitch_scheduler/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! The ledger is the same after a restart, whatever was stored twice or not at all.
+//! The ledger is the same after a restart, even if records were stored twice or not at all.
 
 use std::{sync::Arc, time::Duration};
 
@@ -52,22 +52,22 @@
     Record::Assigned { task: key(job, index), run, executor: ExecutorName::from("e1") }
 }
 
-fn ended(job: &str, index: u32, run: u32, number: u64, how: EndKind) -> Record {
+fn ended(job: &str, index: u32, run: u32, number: u64, kind: EndKind) -> Record {
     Record::Ended {
         executor: ExecutorName::from("e1"),
         number,
         task: key(job, index),
         run,
-        how,
+        kind,
         checkpoint: None,
     }
 }
 
 #[test]
-fn an_end_that_is_listed_twice_counts_once() {
-    // A leader stores an end and dies before it acknowledges it, so the next one is told of it
-    // again. Counted twice, one failure would use up both attempts of a task, and its caller would
-    // be shown a job as failed that could be done.
+fn an_end_that_is_reported_twice_counts_once() {
+    // A leader stores an end and crashes before it acknowledges it, so the end is reported to the
+    // next leader again. Counted twice, one failure would use up both attempts of a task, and a job
+    // that could succeed would be reported as failed.
     let mut ledger = Ledger::default();
     ledger.submit(submission("j", vec![step(1)]));
     ledger.apply(&assigned("j", 0, 1));
@@ -80,8 +80,8 @@
 
 #[test]
 fn a_restored_ledger_equals_the_one_that_was_stored() {
-    // All daemons lose power; whoever starts first reads the snapshot, the appends after it and
-    // the accepted jobs. What it does not find again is run twice or never.
+    // All daemons lose power. The first one to start reads the snapshot, the appends after it and
+    // the accepted jobs. Whatever is missing then is run twice or never.
     let jobs = [submission("a", vec![step(2)]), submission("b", vec![step(1)])];
     let mut ledger = Ledger::default();
     for job in &jobs {
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn records_that_a_snapshot_holds_already_change_nothing() {
-    // A snapshot is taken from memory, where records may already be that are stored only after it.
-    // Read again after a restart they must not move a task backwards.
+fn records_that_a_snapshot_includes_change_nothing() {
+    // A snapshot is taken from memory and may include records that are stored only after it.
+    // Applied again after a restart, they must not revert the state of a task.
     let job = submission("a", vec![step(1)]);
     let mut ledger = Ledger::default();
     ledger.submit(job.clone());
@@ -128,8 +128,8 @@
 
 #[test]
 fn a_job_sent_again_after_its_end_stays_one_job() {
-    // A caller that got no answer sends its job once more, seconds after it was accepted and done.
-    // Taken as new, a payroll would run twice.
+    // A caller that got no response sends its job again, seconds after it was accepted and done.
+    // Taken for a new job, a payroll would run twice.
     let job = submission("a", vec![step(1)]);
     let mut ledger = Ledger::default();
     ledger.submit(job.clone());
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn a_gang_fails_once_however_many_members_say_so() {
-    // The members of a gang end together, each with an end of its own. Counted for each, a single
+fn a_gang_fails_once_however_many_members_report_it() {
+    // The members of a gang end together, and each reports its own end. If each counted, a single
     // failure would end the job.
     let gang = Step { gang: true, ..step(3) };
     let mut ledger = Ledger::default();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn one_member_that_is_done_stands_for_the_gang() {
+fn one_member_that_is_done_completes_the_gang() {
     let gang = Step { gang: true, ..step(2) };
     let mut ledger = Ledger::default();
     ledger.submit(submission("g", vec![gang]));
@@ -183,18 +183,18 @@
 
 #[test]
 fn an_occurrence_that_waits_is_part_of_a_snapshot() {
-    // An occurrence of a timed job is due but finds no room before the leader changes. Left out of
-    // the snapshot it was taken for not begun, the numbers of later ones ran ahead of it, and work
-    // that was done ran again.
-    let mut timed = (*submission("t", vec![step(1)])).clone();
+    // Guards against an occurrence that is due, but waits for capacity when the leader changes, and
+    // is missing from the snapshot. It was then taken for not begun, the numbers of later ones ran
+    // ahead of it, and finished work ran again.
+    let mut scheduled = (*submission("t", vec![step(1)])).clone();
     let interval = Duration::from_secs(4);
-    timed.spec.schedule = Some(Schedule { first: UnixMillis(2_000), interval, times: 3 });
-    let timed = Arc::new(timed);
+    scheduled.spec.schedule = Some(Schedule { first: UnixMillis(2_000), interval, times: 3 });
+    let scheduled = Arc::new(scheduled);
     let mut ledger = Ledger::default();
-    ledger.submit(timed.clone());
+    ledger.submit(scheduled.clone());
     ledger.apply(&Record::Due { job: JobName::from("t"), occurrence: 0 });
 
-    let restored = Snapshot::of(&ledger, 1).restore([timed]);
+    let restored = Snapshot::of(&ledger, 1).restore([scheduled]);
 
     assert_eq!(restored, ledger);
 }
@@ -212,8 +212,8 @@
 }
 
 #[test]
-fn a_crash_that_is_learned_twice_counts_once() {
-    // Guards against a second leader that hears of a crash which the first one had stored.
+fn a_crash_that_is_noticed_twice_counts_once() {
+    // Guards against a second leader that notices a crash which the first one had stored.
     let mut ledger = Ledger::default();
     ledger.submit(submission("j", vec![step(1)]));
 
@@ -221,26 +221,26 @@
     ledger.apply(&crashed("j", 0, "e1", 15, 0));
     ledger.apply(&crashed("j", 0, "e2", 15, 0));
 
-    assert_eq!(ledger.crashes_under(&key("j", 0)).len(), 2);
+    assert_eq!(ledger.crashes_of(&key("j", 0)).len(), 2);
 }
 
 #[test]
-fn crashes_are_forgotten_once_a_run_has_lived_on() {
+fn crashes_are_removed_once_a_run_has_lived_long_enough() {
     let mut ledger = Ledger::default();
     ledger.submit(submission("j", vec![step(2)]));
     ledger.apply(&crashed("j", 0, "e1", 15, 0));
     ledger.apply(&crashed("j", 1, "e1", 15, 0));
 
-    ledger.apply(&Record::Lived { task: key("j", 0), millis: 2_000 });
+    ledger.apply(&Record::Survived { task: key("j", 0), millis: 2_000 });
     ledger.apply(&crashed("j", 1, "e2", 5_000, 4_000));
 
-    assert!(ledger.crashes_under(&key("j", 0)).is_empty());
-    assert_eq!(ledger.crashes_under(&key("j", 1)).len(), 1, "the first one was outlived");
+    assert!(ledger.crashes_of(&key("j", 0)).is_empty());
+    assert_eq!(ledger.crashes_of(&key("j", 1)).len(), 1, "the run has outlived the first one");
 }
 
 #[test]
 fn suspects_and_tasks_given_up_are_part_of_a_snapshot() {
-    // Guards against a count that begins anew, and a reason that is lost, with each leader.
+    // Guards against crashes that each leader counts anew, and reasons that are lost with a leader.
     let jobs = [submission("a", vec![step(1)]), submission("b", vec![step(1)])];
     let mut ledger = Ledger::default();
     for job in &jobs {
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -21,7 +21,7 @@
             format!("run={} executor={executor} why={why}", held.run)
         });
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
-        let is_left = self.ledger.leftovers.get(task).is_some_and(|left| left.run == held.run);
+        let is_left = self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
         if is_left || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
             self.record(Record::Released { task: task.clone(), run: held.run });
         }
@@ -60,7 +60,7 @@
             number: ended.number,
             task: ended.task.clone(),
             run: ended.run,
-            how: ended.how,
+            kind: ended.how,
             checkpoint: ended.checkpoint.clone(),
         });
         self.outbox.then_acknowledge(executor.clone(), ended.number);
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -228,7 +228,7 @@
         let purpose = withdrawal.purpose.clone();
         let emptied = withdrawal.emptied.clone();
         if answer != HostAnswer::Lost {
-            self.record(Record::HostOrderSettled { host: host.clone(), millis });
+            self.record(Record::HostOrderAnswered { host: host.clone(), millis });
         }
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
         match answer {
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -13,9 +13,9 @@
     event::Now,
     job::{JobSpec, Submission},
     ledger::{
-        KEEP_OUTCOME,
+        OUTCOME_RETENTION,
         job::{Job, Occurrence},
-        record::{Leftover, Outcome, Record},
+        record::{LingeringRun, Outcome, Record},
     },
     policy::{caller_shares::JobRate, order::JobView},
     reducer::{Scheduler, executors::Held},
@@ -200,8 +200,8 @@
             let held = self.executors.get(executor)?.runs.get(task)?;
             let charge = held.charge.clone()?;
             let (executor, run, size) = (executor.clone(), held.run, held.size);
-            let leftover = Leftover { executor, run, size, charge };
-            Some(Record::Leftover { task: task.clone(), leftover })
+            let lingering = LingeringRun { executor, run, size, charge };
+            Some(Record::LingeringRun { task: task.clone(), lingering })
         });
         runs.collect()
     }
@@ -228,11 +228,11 @@
     }
 
     pub(super) fn forget_outcomes(&mut self, now: Now) {
-        let before = UnixMillis(now.wall.0.saturating_sub(KEEP_OUTCOME.as_millis() as u64));
+        let before = UnixMillis(now.wall.0.saturating_sub(OUTCOME_RETENTION.as_millis() as u64));
         let slack = FORGET_INTERVAL.as_millis() as u64;
         let overdue = self.ledger.finished.values().any(|f| f.at.0 + slack < before.0);
         if overdue {
-            self.record(Record::Forgotten { before });
+            self.record(Record::OutcomesDropped { before });
         }
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/lapses.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lapses.rs
@@ -150,7 +150,7 @@
     }
 
     fn forget_ends(&mut self, executor: &ExecutorName) {
-        if self.ledger.seen.contains_key(executor) {
+        if self.ledger.last_ends.contains_key(executor) {
             self.record(Record::ExecutorGone { executor: executor.clone() });
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/looks.rs
@@ -144,7 +144,7 @@
     }
 
     fn take_ends(&mut self, now: Now, executor: &ExecutorName, report: &Report) {
-        let seen = self.ledger.seen.get(executor).copied().unwrap_or(0);
+        let seen = self.ledger.last_ends.get(executor).copied().unwrap_or(0);
         for ended in report.ended.iter().filter(|ended| ended.number > seen) {
             self.ended(now, executor, ended);
         }
--- a/crates/borageswitch_scheduler/src/reducer/outbox.rs
+++ b/crates/borageswitch_scheduler/src/reducer/outbox.rs
@@ -123,7 +123,7 @@
         }
         if !self.ledger.host_orders.is_empty() {
             let millis = self.led_millis(now.time);
-            self.record(Record::Led { millis });
+            self.record(Record::TermTime { millis });
         }
         let outbox = &mut self.outbox;
         let append = outbox.next_append;
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -49,7 +49,7 @@
         config: Arc<Config>,
         registrations: Vec<Registration>,
     ) -> Scheduler {
-        let inherited_orders = ledger.host_orders.ages();
+        let inherited_orders = ledger.host_orders.min_ages();
         let mut scheduler = Scheduler {
             limits,
             began: now.time,
@@ -98,7 +98,7 @@
     fn inherit_ends(&mut self) {
         let names: Vec<ExecutorName> = self.executors.keys().cloned().collect();
         for executor in names {
-            let stored = self.ledger.seen.get(&executor).copied().unwrap_or(0);
+            let stored = self.ledger.last_ends.get(&executor).copied().unwrap_or(0);
             let Some(known) = self.executors.get_mut(&executor) else { continue };
             known.taken_end = stored;
             known.stored_end = stored;
@@ -117,7 +117,7 @@
             let Some(pool) = self.pool_of(&task.job).cloned() else { continue };
             self.inherit_run(now, &executor, pool, &task, held, until);
         }
-        for (task, left) in self.ledger.leftovers.clone() {
+        for (task, left) in self.ledger.lingering_runs.clone() {
             let held = Held {
                 size: left.size,
                 charge: Some(left.charge),
@@ -154,7 +154,7 @@
     ) {
         if self.executors.get(executor).is_none() {
             let mut unregistered = Executor::new(unknown_registration(executor, pool), now.time);
-            let stored = self.ledger.seen.get(executor).copied().unwrap_or(0);
+            let stored = self.ledger.last_ends.get(executor).copied().unwrap_or(0);
             unregistered.present = false;
             unregistered.hearsay = true;
             unregistered.taken_end = stored;
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -63,7 +63,7 @@
 impl Scheduler {
     /// How a task is to be treated.
     pub(super) fn standing(&self, task: &TaskKey) -> Standing {
-        Standing::of(self.ledger.crashes_under(task))
+        Standing::of(self.ledger.crashes_of(task))
     }
 
     /// Whether an executor's host has crashed again and again.
@@ -152,7 +152,7 @@
         let of_job = runs.iter().filter(|lost| lost.task.job == *job);
         let mut present = Present { evidence: 0, window: Duration::MAX };
         for lost in of_job {
-            let crashes = self.ledger.crashes_under(&lost.task);
+            let crashes = self.ledger.crashes_of(&lost.task);
             let evidence = crashes.iter().map(|crash| crash.evidence).sum();
             present.evidence = present.evidence.max(evidence);
             present.window = present.window.min(lost.window.unwrap_or(UNKNOWN_AGE));
@@ -205,7 +205,7 @@
             for task in tasks {
                 let known = self.executors.get(executor);
                 let held = known.and_then(|known| Some(known.lived(known.runs.get(task)?)));
-                let crashes = self.ledger.crashes_under(task);
+                let crashes = self.ledger.crashes_of(task);
                 match held {
                     Some(lived)
                         if crashes.iter().any(|crash| crash_attribution::refutes(lived, crash)) =>
@@ -222,7 +222,7 @@
         }
         for (executor, task, millis) in outlived {
             self.log("suspect-lives", &task, || format!("executor={executor} lived_ms={millis}"));
-            self.record(Record::Lived { task, millis });
+            self.record(Record::Survived { task, millis });
         }
     }
 
--- a/crates/borageswitch_scheduler/tests/sessions.rs
+++ b/crates/borageswitch_scheduler/tests/sessions.rs
@@ -248,8 +248,8 @@
     let mut ledger = Ledger::default();
     let host = HostName::from("h");
     ledger.apply(&Record::HostOrdered { host: host.clone() });
-    ledger.apply(&Record::HostOrderSettled { host, millis: 7_000 });
-    ledger.apply(&Record::Led { millis: 7_000 + settled_for });
+    ledger.apply(&Record::HostOrderAnswered { host, millis: 7_000 });
+    ledger.apply(&Record::TermTime { millis: 7_000 + settled_for });
     ledger
 }
 
@@ -320,7 +320,7 @@
     // its own. The third must not take the second's short term for the age of the order.
     let mut ledger = ledger_with_order(900);
     ledger.apply(&Record::TermBegan);
-    ledger.apply(&Record::Led { millis: 1_000 });
+    ledger.apply(&Record::TermTime { millis: 1_000 });
 
     let orders = ordered_at_once(ledger);
 
