--- a/crates/borageswitch_scheduler/src/ledger/crashes.rs
+++ b/crates/borageswitch_scheduler/src/ledger/crashes.rs
@@ -79,5 +79,5 @@
 /// Removes the crashes from which a run that has lived for `lived_ms` exonerates its task.
 pub(super) fn clear_survived(crashes: &mut Vec<Crash>, lived_ms: u64) {
     let lived = Duration::from_millis(lived_ms);
-    crashes.retain(|crash| !crash_attribution::refutes(lived, crash));
+    crashes.retain(|crash| !crash_attribution::exonerates(lived, crash));
 }
--- a/crates/borageswitch_scheduler/src/policy/call_budget.rs
+++ b/crates/borageswitch_scheduler/src/policy/call_budget.rs
@@ -1,22 +1,24 @@
-//! How many orders for hosts are given a second.
+//! Limits how many orders for hosts are sent to the platform per second.
 //!
-//! The load: hundreds of hosts are to be sent away when a rush begins that needs hundreds of others.
-//! The platform takes so many calls a second from all daemons together and refuses the rest. Given
-//! all at once, orders that nobody waits for crowd out those that callers wait for, and each refused
-//! one has to be given again.
+//! When a load peak begins, hundreds of hosts may be released while hundreds of others are needed.
+//! The platform accepts a limited number of calls per second from all daemons together and rejects
+//! the rest. Sent all at once, orders that nobody waits for crowd out those that callers wait for,
+//! and each rejected order has to be sent again.
 
 use std::time::Duration;
 
 use borageswitch_types::Time;
 
-/// The share of the platform's calls that is used: its seconds are not ours.
-const SHARE: f64 = 0.9;
-/// The calls of so long a time may leave at once.
+/// The share of the platform's call limit that is used, as the platform's seconds do not coincide
+/// with ours.
+const USED_SHARE: f64 = 0.9;
+/// The calls of this length of time may be sent at once.
 const BURST: Duration = Duration::from_millis(250);
-/// The share of a burst that is left to hosts which are needed: none is sent away with it.
+/// The share of a burst that is reserved for hosts that are needed; it is not spent on releasing
+/// hosts.
 const RESERVED: f64 = 0.5;
 
-/// The calls that may leave.
+/// A token bucket for calls to the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct CallBudget {
     per_second: f64,
@@ -25,9 +27,9 @@
 }
 
 impl CallBudget {
-    /// A budget for a platform that takes so many calls a second.
+    /// Creates a full budget for a platform that accepts `per_second` calls per second.
     pub fn new(per_second: f64, now: Time) -> Self {
-        let per_second = per_second * SHARE;
+        let per_second = per_second * USED_SHARE;
         Self { per_second, left: Self::burst(per_second), at: now }
     }
 
@@ -41,8 +43,8 @@
         self.at = now;
     }
 
-    /// Takes one call out of the budget, if there is one.
-    pub fn take(&mut self, now: Time) -> bool {
+    /// Takes one call from the budget and returns whether there was one.
+    pub fn try_take(&mut self, now: Time) -> bool {
         self.refill(now);
         let granted = self.left >= 1.0;
         if granted {
@@ -51,8 +53,8 @@
         granted
     }
 
-    /// How many hosts may be sent away that are merely not needed.
-    pub fn spare(&mut self, now: Time) -> usize {
+    /// Returns how many calls may be spent on hosts that are merely not needed.
+    pub fn optional_calls(&mut self, now: Time) -> usize {
         self.refill(now);
         (self.left - Self::burst(self.per_second) * RESERVED).ceil().max(0.0) as usize
     }
--- a/crates/borageswitch_scheduler/src/policy/call_budget/tests.rs
+++ b/crates/borageswitch_scheduler/src/policy/call_budget/tests.rs
@@ -1,41 +1,41 @@
-//! A fleet that is emptied while a rush begins.
+//! Hosts are released while a load peak begins.
 
 use super::*;
 
 #[test]
-fn no_more_orders_leave_than_the_platform_takes() {
-    // Guards against thousands of refused orders that are given again and again.
+fn no_more_orders_are_sent_than_the_platform_accepts() {
+    // Guards against thousands of rejected orders that are sent again and again.
     let mut budget = CallBudget::new(590.0, Time::ZERO);
-    let mut given = 0;
+    let mut sent = 0;
     for millis in 0..10_000 {
-        while budget.take(Time::from_millis(millis)) {
-            given += 1;
+        while budget.try_take(Time::from_millis(millis)) {
+            sent += 1;
         }
     }
 
-    assert!((5_200..=5_900).contains(&given), "{given}");
+    assert!((5_200..=5_900).contains(&sent), "{sent}");
 }
 
 #[test]
-fn hosts_that_are_needed_need_not_wait_for_those_that_are_not() {
-    // Guards against a rush that waits until the hosts of another pool are switched off.
+fn orders_for_needed_hosts_do_not_wait_for_releases() {
+    // Guards against a load peak that waits until the hosts of another pool are switched off.
     let now = Time::from_millis(1_000);
     let mut budget = CallBudget::new(590.0, Time::ZERO);
-    for _ in 0..budget.spare(now) {
-        assert!(budget.take(now));
+    for _ in 0..budget.optional_calls(now) {
+        assert!(budget.try_take(now));
     }
 
-    let needed = (0..60).filter(|_| budget.take(now)).count();
+    let needed = (0..60).filter(|_| budget.try_take(now)).count();
 
-    assert_eq!(budget.spare(now), 0);
+    assert_eq!(budget.optional_calls(now), 0);
     assert_eq!(needed, 60);
 }
 
 #[test]
-fn a_small_site_can_always_give_an_order() {
+fn a_small_site_can_always_send_an_order() {
     let mut budget = CallBudget::new(2.0, Time::ZERO);
 
-    assert!(budget.spare(Time::ZERO) > 0);
-    assert!(budget.take(Time::ZERO));
-    assert!(budget.take(Time::from_millis(1_000)));
+    assert!(budget.optional_calls(Time::ZERO) > 0);
+    assert!(budget.try_take(Time::ZERO));
+    assert!(budget.try_take(Time::from_millis(1_000)));
 }
--- a/crates/borageswitch_scheduler/src/policy/caller_shares.rs
+++ b/crates/borageswitch_scheduler/src/policy/caller_shares.rs
@@ -1,41 +1,41 @@
-//! Which jobs are within their caller's share.
+//! Determines which jobs are within the rate that their caller was promised.
 //!
-//! The load: one caller hands in several times what it usually does, in the turn of a queue that all
-//! callers use. By their deadlines alone its jobs are as urgent as all others, so each caller's jobs
-//! are late, the more of them the fewer it hands in. An operator promises each caller so many jobs a
-//! second when not all can be served. What comes beyond that waits until nothing that was promised
-//! does, and runs in whatever room is left.
+//! One caller submits several times its usual load to a queue that all callers use. By their
+//! deadlines its jobs are as urgent as all others, so the jobs of every caller are late, and a
+//! larger part of them the fewer a caller submits. An operator therefore promises each caller a
+//! number of jobs per second for when not all can be served. Jobs beyond this rate wait until no
+//! promised job does, and use the remaining capacity.
 
 use borageswitch_types::Time;
 
-/// A caller that hands in less often than this is promised one job at a time all the same.
-const LEAST_BURST: f64 = 1.0;
+/// The smallest burst: a caller with a lower rate than this is still promised one job at a time.
+const MIN_BURST: f64 = 1.0;
 
-/// Counts what a caller hands in against its share: a bucket that fills with its rate, and holds
-/// what it may hand in within one second.
+/// A token bucket for the jobs that a caller submits. It is refilled at the caller's rate and holds
+/// the jobs of one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JobRate {
+pub struct JobBucket {
     left: f64,
     at: Time,
 }
 
-impl JobRate {
-    /// A caller that has handed in nothing for a while. As with [`Self::take`], its share is given in
-    /// jobs a second.
+impl JobBucket {
+    /// Creates a full bucket for a rate of `per_second` jobs per second.
     pub fn new(now: Time, per_second: f64) -> Self {
-        Self { left: per_second.max(LEAST_BURST), at: now }
+        Self { left: per_second.max(MIN_BURST), at: now }
     }
 
-    /// A job is handed in; `per_second` is the caller's share now. Gives whether it is within that.
-    pub fn take(&mut self, now: Time, per_second: f64) -> bool {
-        let fresh = now.since(self.at).as_secs_f64() * per_second;
-        self.left = (self.left + fresh).min(per_second.max(LEAST_BURST));
+    /// Takes a token for a submitted job and returns whether there was one. `per_second` is the
+    /// caller's current rate.
+    pub fn try_take(&mut self, now: Time, per_second: f64) -> bool {
+        let refill = now.since(self.at).as_secs_f64() * per_second;
+        self.left = (self.left + refill).min(per_second.max(MIN_BURST));
         self.at = self.at.max(now);
-        let within = self.left >= 1.0;
-        if within {
+        let granted = self.left >= 1.0;
+        if granted {
             self.left -= 1.0;
         }
-        within
+        granted
     }
 }
 
--- a/crates/borageswitch_scheduler/src/policy/crash_rate.rs
+++ b/crates/borageswitch_scheduler/src/policy/crash_rate.rs
@@ -1,8 +1,8 @@
-//! How often executors crash under tasks that have nothing to do with it.
+//! Estimates how often executors crash for reasons unrelated to a task.
 //!
-//! The load: hosts of all kinds, some of which crash again and again. A crash on one of these says
-//! next to nothing about the task that ran there; one on a site where hosts hardly ever crash says a
-//! lot. Without a rate, tasks that are sent to a failing host would be given up in place of it.
+//! Some hosts crash again and again. A crash on one of these says next to nothing about the task
+//! that ran there, while one on a site where hosts hardly ever crash says a lot. Without a rate,
+//! tasks that are sent to a failing host would be given up in its place.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -14,77 +14,80 @@
     names::{HostName, JobName},
 };
 
-/// How long crashes are remembered for the rate at which they happen.
-const MEMORY: Duration = Duration::from_secs(60);
-/// One crash is taken to have been seen in so long a life of one executor, so that a new leader
-/// does not begin without a rate.
-const PRIOR_LIFE: Duration = Duration::from_secs(200);
-/// A host that crashed so often within [`MEMORY`] is avoided by suspects.
-const UNSTEADY: usize = 2;
+/// How long crashes are kept and count for the rate.
+const RETENTION: Duration = Duration::from_secs(60);
+/// The prior for the rate: one crash in this much executor time, so that a new leader does not
+/// start without a rate.
+const PRIOR_EXPOSURE: Duration = Duration::from_secs(200);
+/// The number of crashes within [`RETENTION`] from which a host counts as crash-prone and is
+/// avoided by suspects.
+const CRASH_PRONE_MIN: usize = 2;
 
 #[derive(Clone, Debug)]
-struct Event {
+struct CrashEvent {
     at: Time,
     host: Option<HostName>,
     jobs: BTreeSet<JobName>,
 }
 
-/// The crashes of the last minute.
+/// The crashes of the last [`RETENTION`].
 #[derive(Clone, Debug, Default)]
-pub struct History {
-    events: VecDeque<Event>,
+pub struct CrashHistory {
+    events: VecDeque<CrashEvent>,
 }
 
-impl History {
-    /// An executor has crashed with runs of these jobs.
-    pub fn note(&mut self, at: Time, host: Option<HostName>, jobs: BTreeSet<JobName>) {
-        self.events.retain(|event| at.since(event.at) < MEMORY);
-        self.events.push_back(Event { at, host, jobs });
+impl CrashHistory {
+    /// Records the crash of an executor that had runs of `jobs`.
+    pub fn add_crash(&mut self, at: Time, host: Option<HostName>, jobs: BTreeSet<JobName>) {
+        self.events.retain(|event| at.since(event.at) < RETENTION);
+        self.events.push_back(CrashEvent { at, host, jobs });
     }
 
-    /// A job has turned out to be the cause wherever it was.
-    pub fn explain(&mut self, job: &JobName) {
+    /// Removes the crashes under a job that has been found to cause them.
+    pub fn discard_caused_by(&mut self, job: &JobName) {
         self.events.retain(|event| !event.jobs.contains(job));
     }
 
-    /// How many crashes a second a task on a host sees that has nothing to do with them. What
-    /// happened under the task's own job does not count.
-    pub fn rate(&self, now: Time, began: Time, site: &Site<'_>) -> f64 {
-        let observed = now.since(began).min(MEMORY).as_secs_f64();
-        let foreign =
-            |event: &&Event| now.since(event.at) < MEMORY && !event.jobs.contains(site.job);
-        let foreign = self.events.iter().filter(foreign);
-        let all = foreign.clone().count() as f64;
-        let here = foreign.filter(|event| site.host.is_some() && event.host.as_ref() == site.host);
+    /// Returns how many unrelated crashes per second a task on a host sees. Crashes under the
+    /// task's own job do not count. `began` is when the leader took over.
+    pub fn rate(&self, now: Time, began: Time, context: &RateContext<'_>) -> f64 {
+        let observed = now.since(began).min(RETENTION).as_secs_f64();
+        let unrelated = |event: &&CrashEvent| {
+            now.since(event.at) < RETENTION && !event.jobs.contains(context.job)
+        };
+        let unrelated = self.events.iter().filter(unrelated);
+        let total = unrelated.clone().count() as f64;
+        let here =
+            unrelated.filter(|event| context.host.is_some() && event.host.as_ref() == context.host);
         let here = here.count() as f64;
-        let lived = PRIOR_LIFE.as_secs_f64() + site.executors as f64 * observed;
-        let average = (all + 1.0) / lived;
-        average.max(here / MEMORY.as_secs_f64())
+        let exposure = PRIOR_EXPOSURE.as_secs_f64() + context.executors as f64 * observed;
+        let average = (total + 1.0) / exposure;
+        average.max(here / RETENTION.as_secs_f64())
     }
 
-    /// Whether a host has crashed again and again.
-    pub fn is_unsteady(&self, now: Time, host: &HostName) -> bool {
+    /// Returns whether a host has crashed repeatedly within [`RETENTION`].
+    pub fn is_crash_prone(&self, now: Time, host: &HostName) -> bool {
         let here = self
             .events
             .iter()
-            .filter(|event| now.since(event.at) < MEMORY && event.host.as_ref() == Some(host));
-        here.count() >= UNSTEADY
+            .filter(|event| now.since(event.at) < RETENTION && event.host.as_ref() == Some(host));
+        here.count() >= CRASH_PRONE_MIN
     }
 
-    /// Whether any crash is remembered.
+    /// Returns whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 }
 
-/// Where a crash rate is asked for.
+/// The task and the host for which a crash rate is estimated.
 #[derive(Clone, Copy, Debug)]
-pub struct Site<'a> {
+pub struct RateContext<'a> {
     /// The job of the task.
     pub job: &'a JobName,
-    /// The host that it ran on, if it is known.
+    /// The host that the task ran on, if it is known.
     pub host: Option<&'a HostName>,
-    /// How many executors there are.
+    /// The number of executors of the site.
     pub executors: usize,
 }
 
--- a/crates/borageswitch_scheduler/src/policy/gangs/tests.rs
+++ b/crates/borageswitch_scheduler/src/policy/gangs/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::{self as gangs, Candidate, Plan, places};
+use super::{self as gangs, Candidate, Plan, member_capacity};
 use crate::job::Size;
 
 fn cores(cores: u64) -> Size {
@@ -8,37 +8,37 @@
 }
 
 #[test]
-fn members_are_counted_by_host_and_not_by_core() {
-    // Two hosts of eight cores have sixteen in all, but take one member of five cores each.
-    let each = places(&cores(8), &cores(5), None);
+fn member_capacity_is_counted_by_host_and_not_by_core() {
+    // Two hosts of eight cores have sixteen in total, but each takes only one member of five cores.
+    let each = member_capacity(&cores(8), &cores(5), None);
 
     assert_eq!(each, 1);
-    assert_eq!(places(&cores(8), &cores(2), Some(1)), 1);
-    assert_eq!(places(&cores(1), &cores(2), None), 0);
+    assert_eq!(member_capacity(&cores(8), &cores(2), Some(1)), 1);
+    assert_eq!(member_capacity(&cores(1), &cores(2), None), 0);
 }
 
-fn candidate(id: &str, places: usize, ready: u64) -> Candidate<&str> {
-    Candidate { id, places, ready: Duration::from_millis(ready) }
+fn candidate(id: &str, max_members: usize, ready_in: u64) -> Candidate<&str> {
+    Candidate { id, max_members, ready_in: Duration::from_millis(ready_in) }
 }
 
 #[test]
-fn the_hosts_that_are_soonest_free_are_kept() {
+fn the_hosts_that_are_free_soonest_are_reserved() {
     let hosts = vec![candidate("busy", 2, 900), candidate("free", 2, 0), candidate("half", 2, 400)];
 
-    assert_eq!(gangs::plan(3, hosts), Plan::Keep(vec!["free", "half"]));
+    assert_eq!(gangs::plan(3, hosts), Plan::Reserve(vec!["free", "half"]));
 }
 
 #[test]
-fn hosts_that_are_busy_for_long_go_on_taking_small_tasks() {
-    // One of the two hosts has a task that takes ten seconds. Kept until that has ended, the other
-    // would stand idle beside small jobs that wait.
+fn no_host_is_reserved_while_others_stay_busy() {
+    // One of the two hosts runs a task of ten seconds. Reserved until that has ended, the other
+    // would stand idle while small jobs wait.
     let hosts = vec![candidate("long", 2, 10_000), candidate("free", 2, 0)];
 
     assert_eq!(gangs::plan(3, hosts), Plan::Wait);
 }
 
 #[test]
-fn nothing_is_kept_for_a_gang_that_does_not_fit() {
-    // Half of a gang on its hosts would keep them from all others and not start either.
+fn nothing_is_reserved_for_a_gang_that_does_not_fit() {
+    // Half of a gang would block its hosts for all others without being able to start.
     assert_eq!(gangs::plan(3, vec![candidate("only", 2, 0)]), Plan::Fetch);
 }
--- a/crates/borageswitch_scheduler/src/policy/last_chance.rs
+++ b/crates/borageswitch_scheduler/src/policy/last_chance.rs
@@ -1,12 +1,14 @@
-//! Which late jobs run ahead of those that can be on time.
+//! Decides which late jobs run ahead of jobs that can still be on time.
 //!
-//! The load: a rush lasts, and there is always a job that can still be on time. Late jobs get what
-//! these leave, which is nothing, and wait until they are of no use to anybody, although each would
-//! have taken a moment. So a late job goes first in the last moment in which it can still be of
-//! use. But jobs of little worth must not push out those of full worth: where a rush asks for
-//! several times what there is, more jobs would come to their last moment than can run at all, and
-//! in the end every job would be late. So only a part of the pool does such work at a time; what
-//! goes beyond it is let go.
+//! During a long load peak there is always a job that can still be on time. Late jobs get only the
+//! capacity that these leave, which is none, and wait until they are of no use to anybody, although
+//! each would have taken only a moment. A late job therefore goes first at the last moment at which
+//! it can still be of use.
+//!
+//! Late jobs are worth little and must not displace those of full worth. Where a peak requests
+//! several times the available capacity, more jobs reach their last chance than can run at all, and
+//! in the end every job would be late. So only part of a pool runs such jobs at a time; the others
+//! stay behind jobs that can be on time.
 
 use std::time::Duration;
 
@@ -14,38 +16,40 @@
 
 use crate::policy::order::JobView;
 
-/// A job is in its last moment when there is less than so many times its longest chain of work left
-/// until it is of no use, ..
-const CHAINS: f64 = 1.5;
-/// .. and so much more: run times are known to about a half, and a start takes moments.
+/// A job is at its last chance when the time left until it is of no use is less than this multiple
+/// of its critical path, ...
+const CRITICAL_PATHS: f64 = 1.5;
+/// ... plus this much: run times are known to within about a half, and a start takes a moment.
 const SLACK: Duration = Duration::from_millis(500);
-/// The part of a pool that may do late work ahead of work that can be on time, in percent. Without a
-/// limit, late jobs would leave hardly any room to those that can be on time.
+/// The share of a pool, in percent, that late work may use ahead of work that can be on time.
+/// Without a limit, late jobs would leave hardly any capacity to those that can be on time.
 const SHARE_PERCENT: u64 = 20;
 
-/// Whether a late job must run now to be of use.
+/// Returns whether a late job must start now to be of use.
 pub fn is_due(job: &JobView, now: Time) -> bool {
     let end = now + job.remaining;
     let late = !job.lasting && !job.beyond_share && end > job.deadline;
-    let needs = job.remaining.mul_f64(CHAINS) + SLACK;
-    late && end <= job.useful_until && now + needs > job.useful_until
+    let time_needed = job.remaining.mul_f64(CRITICAL_PATHS) + SLACK;
+    late && end <= job.useful_until && now + time_needed > job.useful_until
 }
 
-/// How much of a pool is left for late work that runs ahead of other work, in thousandths of a core.
+/// The capacity of a pool that is left for late work running ahead of other work, in thousandths of
+/// a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
     cpu_milli: u64,
 }
 
 impl Allowance {
-    /// That of a pool with so much in all, of which late work has so much already.
-    pub fn of(pool_cpu_milli: u64, late_cpu_milli: u64) -> Self {
+    /// Creates the allowance of a pool with `pool_cpu_milli` in total, of which late work uses
+    /// `late_cpu_milli` already.
+    pub fn new(pool_cpu_milli: u64, late_cpu_milli: u64) -> Self {
         Self { cpu_milli: (pool_cpu_milli * SHARE_PERCENT / 100).saturating_sub(late_cpu_milli) }
     }
 
-    /// Takes what a job's waiting tasks ask for, if anything is left. The last may take more than
-    /// that, or a job larger than the allowance would never run.
-    pub fn take(&mut self, cpu_milli: u64) -> bool {
+    /// Takes the capacity for a job's waiting tasks and returns whether any was left. The last job
+    /// may exceed the allowance, as a job larger than it would never run otherwise.
+    pub fn try_take(&mut self, cpu_milli: u64) -> bool {
         let granted = self.cpu_milli > 0;
         self.cpu_milli = self.cpu_milli.saturating_sub(cpu_milli);
         granted
--- a/crates/borageswitch_scheduler/src/policy/lasting.rs
+++ b/crates/borageswitch_scheduler/src/policy/lasting.rs
@@ -1,80 +1,81 @@
-//! Which more hosts lasting tasks need.
+//! Decides which additional hosts lasting tasks need.
 //!
-//! The load: a lasting task has lost its host, or its host is to be maintained, and the hosts of
-//! its pool that it may run on have other lasting tasks on them, which never end by themselves.
-//! Counted in cores, or by the number of hosts with its label, the pool has enough: nothing would
-//! ever be fetched, and the task's users would be without service for the rest of the day beside
-//! hosts that are off. So each such task is tried on the room that is really there.
+//! A lasting task has lost its host, or its host is to be maintained, and the hosts of its pool
+//! that it may run on are occupied by other lasting tasks, which never end by themselves. Counted
+//! in cores, or by the number of hosts with its label, the pool has enough capacity: no host would
+//! ever be fetched, and the task's users would be without service for the rest of the day while
+//! other hosts are off. So each such task is placed on the capacity that is really free.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use crate::job::Size;
 
-/// What a host has left for lasting tasks, whose steps are told apart by `K`.
+/// The capacity of a host for lasting tasks. `K` identifies a step.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Room<K> {
-    /// What the host is labelled with.
+pub struct HostCapacity<K> {
+    /// The labels of the host.
     pub labels: Vec<Arc<str>>,
-    /// What no other lasting task takes.
+    /// The capacity that no lasting task uses.
     pub free: Size,
-    /// How many tasks of each step it has.
+    /// The number of lasting tasks of each step on the host.
     pub tasks: BTreeMap<K, u32>,
 }
 
-/// A lasting task without a place.
+/// A lasting task without a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seeker<K> {
-    /// Its step.
+pub struct UnplacedTask<K> {
+    /// The step of the task.
     pub step: K,
-    /// What it takes.
+    /// The capacity that the task needs.
     pub size: Size,
-    /// The label that its host must have.
+    /// The label that the host must have.
     pub label: Option<Arc<str>>,
-    /// At most this many tasks of the step run on one host.
+    /// The limit on tasks of the step on one host.
     pub max_per_host: Option<u32>,
 }
 
-/// The hosts that are needed besides `rooms`, each with the label that it must have. Each is taken
-/// to be as large as `host`; a task larger than that gets none.
-pub fn more_hosts<K>(
-    seekers: &[Seeker<K>],
-    mut rooms: Vec<Room<K>>,
-    host: &Size,
+/// Returns the hosts that are needed in addition to `hosts`, each with the label that it must have.
+/// Each is taken to be of size `host_size`; a task that is larger gets none.
+pub fn additional_hosts<K>(
+    unplaced: &[UnplacedTask<K>],
+    mut hosts: Vec<HostCapacity<K>>,
+    host_size: &Size,
 ) -> Vec<Option<Arc<str>>>
 where
     K: Clone + Ord,
 {
     let mut more = Vec::new();
-    let mut seekers: Vec<&Seeker<K>> = seekers.iter().filter(|s| host.holds(&s.size)).collect();
-    // A task without a label can share a host that was fetched for one with it.
-    seekers.sort_by_key(|seeker| seeker.label.is_none());
-    for seeker in seekers {
-        if rooms.iter_mut().any(|room| room.take(seeker)) {
+    let mut unplaced: Vec<&UnplacedTask<K>> =
+        unplaced.iter().filter(|t| host_size.holds(&t.size)).collect();
+    // Tasks without a label come last, as they can share a host that is fetched for a label.
+    unplaced.sort_by_key(|task| task.label.is_none());
+    for task in unplaced {
+        if hosts.iter_mut().any(|host| host.try_place(task)) {
             continue;
         }
-        let labels = seeker.label.iter().cloned().collect();
-        let mut fresh = Room { labels, free: *host, tasks: BTreeMap::new() };
-        fresh.take(seeker);
-        rooms.push(fresh);
-        more.push(seeker.label.clone());
+        let labels = task.label.iter().cloned().collect();
+        let mut fresh = HostCapacity { labels, free: *host_size, tasks: BTreeMap::new() };
+        fresh.try_place(task);
+        hosts.push(fresh);
+        more.push(task.label.clone());
     }
     more
 }
 
-impl<K> Room<K>
+impl<K> HostCapacity<K>
 where
     K: Clone + Ord,
 {
-    /// Gives a task a place here, if there is one.
-    fn take(&mut self, seeker: &Seeker<K>) -> bool {
-        let there = self.tasks.get(&seeker.step).copied().unwrap_or(0);
-        let labelled = seeker.label.as_ref().is_none_or(|label| self.labels.contains(label));
-        let apart = seeker.max_per_host.is_none_or(|most| there < most);
-        if !labelled || !apart || !self.free.holds(&seeker.size) {
+    /// Places a task on the host and returns whether it fits.
+    fn try_place(&mut self, task: &UnplacedTask<K>) -> bool {
+        let of_step = self.tasks.get(&task.step).copied().unwrap_or(0);
+        let labelled = task.label.as_ref().is_none_or(|label| self.labels.contains(label));
+        let below_limit = task.max_per_host.is_none_or(|most| of_step < most);
+        if !labelled || !below_limit || !self.free.holds(&task.size) {
             return false;
         }
-        self.free = self.free.less(&seeker.size);
-        self.tasks.insert(seeker.step.clone(), there + 1);
+        self.free = self.free.less(&task.size);
+        self.tasks.insert(task.step.clone(), of_step + 1);
         true
     }
 }
--- a/crates/borageswitch_scheduler/src/policy/lending.rs
+++ b/crates/borageswitch_scheduler/src/policy/lending.rs
@@ -1,14 +1,15 @@
-//! Which hosts change their pool.
+//! Decides which hosts move to another pool.
 //!
-//! The load comes by turns: for some seconds a queue asks for several times what its pool holds,
-//! then for almost nothing while another queue has its turn. Hosts that stay where they are are
-//! too few in their pool's turn and idle in all others, and an idle host costs as much as a busy
-//! one. So hosts follow the load: a pool that asks for more than it holds gets hosts that are off
-//! or idle elsewhere, and what has been idle for a while is switched off.
+//! The load comes in bursts: for some seconds a queue requests several times the capacity of its
+//! pool, then almost nothing while another queue is busy. Hosts that never move are too few during
+//! the peaks of their pool and idle otherwise, and an idle host costs as much as a busy one. So
+//! hosts follow the load: a pool that requests more than it has gets hosts that are off or idle
+//! elsewhere, and hosts that have been idle for a while are switched off.
 //!
 //! A move takes a second and a half, about as long as a job has to spare. A pool therefore keeps a
-//! few idle hosts for the first jobs of its next turn, and asks for as many as the rate of its
-//! arrivals will need ([`arrivals`](super::arrivals)), not only for what waits already.
+//! few idle hosts for the first jobs of its next peak, and requests as many hosts as the rate of
+//! its arrivals will need ([`arrivals`](super::arrivals)), not only as many as the waiting tasks
+//! need.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,220 +21,226 @@
 
 use crate::{
     job::Size,
-    policy::label_shares::{self, Claim},
+    policy::label_shares::{self, PoolDemand},
 };
 
-/// How full hosts can be packed, in percent: tasks of several cores leave gaps.
-const FILL_PERCENT: u64 = 85;
-/// A host is switched off after so long without work: one that has just been is missed by the next
-/// jobs. How many a pool keeps on for longer, [`peaks`](super::peaks) says.
+/// How full hosts can be packed, in percent, as tasks of several cores leave gaps.
+const PACKING_PERCENT: u64 = 85;
+/// The idle time after which a host is switched off: one that has just become idle is likely to be
+/// used by the next jobs. How many hosts a pool keeps on for longer is decided by
+/// [`peaks`](super::peaks).
 pub const IDLE_BEFORE_OFF: Duration = Duration::from_millis(2_000);
-/// How many idle hosts a pool keeps that has had short work.
-const KEEP_WARM: usize = 2;
+/// The number of idle hosts that a pool keeps once it has had short jobs.
+const WARM_HOSTS: usize = 2;
 
-/// What a pool's tasks ask for, in all or of hosts with one label.
+/// The demand of a pool's tasks, in total or for hosts with one label.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
-    /// What runs and what waits.
-    pub demand: Size,
-    /// The hosts that tasks need which may not share one.
-    pub apart: usize,
+pub struct Demand {
+    /// The capacity that running and waiting tasks request.
+    pub resources: Size,
+    /// The number of hosts required by tasks that may not share one.
+    pub separate_hosts: usize,
 }
 
-impl Need {
-    /// How many hosts like `host` that takes.
+impl Demand {
+    /// Returns how many hosts of size `host` the demand needs.
     pub fn hosts(&self, host: &Size) -> usize {
-        let by_cpu = share(self.demand.cpu_milli, host.cpu_milli);
-        let by_memory = share(self.demand.memory_mb, host.memory_mb);
-        let by_accelerators = share(self.demand.accelerators, host.accelerators);
-        by_cpu.max(by_memory).max(by_accelerators).max(self.apart)
+        let by_cpu = hosts_for(self.resources.cpu_milli, host.cpu_milli);
+        let by_memory = hosts_for(self.resources.memory_mb, host.memory_mb);
+        let by_accelerators = hosts_for(self.resources.accelerators, host.accelerators);
+        by_cpu.max(by_memory).max(by_accelerators).max(self.separate_hosts)
     }
 }
 
-/// Tasks that need a label, and the hosts that have it.
+/// The demand for a label, and the hosts that have it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LabelNeed {
+pub struct LabelDemand {
     /// The label.
     pub label: Arc<str>,
-    /// What waits for it, and whatever else runs on hosts that have it.
-    pub need: Need,
-    /// What waits for it, in thousandths of a core.
+    /// The demand of the tasks waiting for it, and of all tasks running on hosts that have it.
+    pub demand: Demand,
+    /// The capacity that tasks waiting for it request, in thousandths of a core.
     pub waiting: u64,
-    /// The pool's hosts that have it, and those on their way.
+    /// The number of the pool's hosts that have it, including those on their way.
     pub hosts: usize,
 }
 
-/// A host with nothing to run.
+/// A host that may move to another pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct IdleHost<T> {
-    /// Which.
+pub struct MovableHost<T> {
+    /// The host.
     pub host: T,
-    /// For how long it has been idle.
+    /// How long it has been idle; zero if it is busy or off.
     pub idle: Duration,
-    /// What it is labelled with.
+    /// Its labels.
     pub labels: Vec<Arc<str>>,
-    /// Few hosts are of its kind: tasks that can do without leave it to those that cannot.
+    /// Whether few hosts are of its kind: tasks that do not need it leave it to those that do.
     pub scarce: bool,
 }
 
-impl<T> IdleHost<T> {
+impl<T> MovableHost<T> {
     fn has(&self, label: &str) -> bool {
         self.labels.iter().any(|own| &**own == label)
     }
 }
 
-/// How a pool stands.
+/// The load and the hosts of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolLoad<T> {
-    /// Which.
+    /// The pool.
     pub pool: PoolName,
-    /// Its hosts are off and cost nothing.
+    /// Whether its hosts are off and cost nothing.
     pub standby: bool,
-    /// Hosts that it has, and hosts that are on their way to it.
+    /// The number of its hosts, including those on their way to it.
     pub hosts: usize,
-    /// Its hosts with nothing to run.
-    pub idle: Vec<IdleHost<T>>,
-    /// Its hosts that run nothing but tasks that end.
-    pub busy: Vec<IdleHost<T>>,
-    /// What its running tasks ask for, and waiting ones that need no label.
-    pub need: Need,
-    /// What its waiting tasks ask for that need a label.
-    pub labelled: Vec<LabelNeed>,
-    /// The hosts that lasting tasks need besides those that the pool has, each with the label that
+    /// Its idle hosts.
+    pub idle: Vec<MovableHost<T>>,
+    /// Its hosts that run only tasks that are not lasting.
+    pub busy: Vec<MovableHost<T>>,
+    /// The demand of its running tasks, and of waiting ones that need no label.
+    pub demand: Demand,
+    /// The demand of its waiting tasks that need a label.
+    pub label_demands: Vec<LabelDemand>,
+    /// The hosts that lasting tasks need in addition to those of the pool, each with the label that
     /// it must have.
-    pub lasting: Vec<Option<Arc<str>>>,
-    /// The hosts that a gang needs besides those that the pool has, each with the label that it
+    pub missing_for_lasting: Vec<Option<Arc<str>>>,
+    /// The hosts that a gang needs in addition to those of the pool, each with the label that it
     /// must have.
-    pub gang: Vec<Option<Arc<str>>>,
-    /// How many hosts with each label it has, or has on their way to it.
-    pub label_hosts: BTreeMap<Arc<str>, usize>,
-    /// Racks that hold data of tasks that wait.
+    pub missing_for_gang: Vec<Option<Arc<str>>>,
+    /// The number of its hosts with each label, including those on their way to it.
+    pub hosts_by_label: BTreeMap<Arc<str>, usize>,
+    /// The racks that hold data of waiting tasks.
     pub data_racks: BTreeSet<Arc<str>>,
-    /// How many cores arrivals keep busy.
+    /// The number of cores that arriving work keeps busy.
     pub arriving_cores: f64,
-    /// What one of its hosts has.
-    pub host: Size,
-    /// Short work has been seen here.
+    /// The size of one of its hosts.
+    pub host_size: Size,
+    /// Whether it has had short jobs.
     pub has_short_work: bool,
-    /// So many of its hosts stay on whatever it needs now: its load is not known yet, or its next
-    /// rush is expected. Other pools may have them.
-    pub kept_on: usize,
+    /// The number of its hosts that stay powered on whatever it needs now, as its load is not known
+    /// yet or its next peak is expected. They may still move to other pools.
+    pub min_powered_on: usize,
 }
 
 impl<T> PoolLoad<T> {
-    /// How many hosts the pool needs.
-    pub fn needed(&self) -> usize {
+    /// Returns how many hosts the pool needs.
+    pub fn hosts_needed(&self) -> usize {
         let arriving = (self.arriving_cores * 1_000.0) as u64;
-        self.need.hosts(&self.host).max(share(arriving, self.host.cpu_milli))
+        self.demand.hosts(&self.host_size).max(hosts_for(arriving, self.host_size.cpu_milli))
     }
 
-    /// How many hosts with a label the pool lacks for tasks that end, beyond those that lasting
-    /// tasks and a gang are about to get.
-    fn lacks(&self, label: &LabelNeed) -> usize {
-        let coming = self.lasting.iter().chain(&self.gang);
+    /// Returns how many hosts with a label the pool is short of for tasks that are not lasting, not
+    /// counting hosts that lasting tasks and a gang are about to get.
+    fn label_shortage(&self, label: &LabelDemand) -> usize {
+        let coming = self.missing_for_lasting.iter().chain(&self.missing_for_gang);
         let labelled = coming.filter(|own| own.as_ref() == Some(&label.label)).count();
-        label.need.hosts(&self.host).saturating_sub(label.hosts + labelled)
+        label.demand.hosts(&self.host_size).saturating_sub(label.hosts + labelled)
     }
 
-    /// How much the pool lays claim to hosts with a label.
-    fn claim(&self, label: &str) -> Claim {
-        let own = self.labelled.iter().find(|own| &*own.label == label);
-        let hosts = self.label_hosts.get(label).copied().unwrap_or(0);
-        Claim { waiting: own.map_or(0, |own| own.waiting), hosts }
+    /// Returns the demand of the pool for hosts with a label.
+    fn label_demand(&self, label: &str) -> PoolDemand {
+        let own = self.label_demands.iter().find(|own| &*own.label == label);
+        let hosts = self.hosts_by_label.get(label).copied().unwrap_or(0);
+        PoolDemand { waiting: own.map_or(0, |own| own.waiting), hosts }
     }
 
-    /// Whether the pool has tasks for all its hosts with a label.
-    fn needs_all(&self, label: &str) -> bool {
-        let mut own = self.labelled.iter().filter(|l| &*l.label == label);
-        own.any(|l| l.hosts <= l.need.hosts(&self.host))
+    /// Returns whether the pool has tasks for all its hosts with a label.
+    fn uses_all(&self, label: &str) -> bool {
+        let mut own = self.label_demands.iter().filter(|l| &*l.label == label);
+        own.any(|l| l.hosts <= l.demand.hosts(&self.host_size))
     }
 
-    /// Whether the pool lacks a host with a label.
-    pub fn lacks_label(&self) -> bool {
-        self.lasting.iter().chain(&self.gang).any(Option::is_some)
-            || self.labelled.iter().any(|label| self.lacks(label) > 0)
+    /// Returns whether the pool is short of a host with a label.
+    pub fn lacks_labelled_host(&self) -> bool {
+        self.missing_for_lasting.iter().chain(&self.missing_for_gang).any(Option::is_some)
+            || self.label_demands.iter().any(|label| self.label_shortage(label) > 0)
     }
 
-    /// How many hosts of any kind the pool lacks, beyond those that lasting tasks and a gang are
-    /// about to get.
-    fn missing(&self) -> usize {
-        self.needed().saturating_sub(self.hosts + self.lasting.len() + self.gang.len())
+    /// Returns how many hosts of any kind the pool is short of, not counting those that lasting
+    /// tasks and a gang are about to get.
+    fn shortage(&self) -> usize {
+        self.hosts_needed().saturating_sub(
+            self.hosts + self.missing_for_lasting.len() + self.missing_for_gang.len(),
+        )
     }
 
-    /// How many idle hosts the pool can give away.
-    fn to_give(&self) -> usize {
+    /// Returns how many idle hosts the pool can give away.
+    fn surplus_idle(&self) -> usize {
         if self.standby {
             return self.idle.len();
         }
         let busy = self.hosts.saturating_sub(self.idle.len());
-        let warm = if self.has_short_work { KEEP_WARM } else { 0 };
-        let kept = self.needed().max(busy + warm);
+        let warm = if self.has_short_work { WARM_HOSTS } else { 0 };
+        let kept = self.hosts_needed().max(busy + warm);
         self.hosts.saturating_sub(kept).min(self.idle.len())
     }
 }
 
-fn share(wanted: u64, each: u64) -> usize {
-    let usable = each * FILL_PERCENT / 100;
-    if usable == 0 { 0 } else { wanted.div_ceil(usable) as usize }
+/// Returns how many hosts that have `each` of a resource hold `requested` of it, packed to
+/// [`PACKING_PERCENT`].
+fn hosts_for(requested: u64, each: u64) -> usize {
+    let usable = each * PACKING_PERCENT / 100;
+    if usable == 0 { 0 } else { requested.div_ceil(usable) as usize }
 }
 
-/// A host to be moved.
+/// A host that is to move to another pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move<T> {
     /// The host.
     pub host: T,
-    /// Where to.
+    /// The pool that it moves to.
     pub to: PoolName,
 }
 
-/// Decides the moves, of which `limit` at most switch a host off. `may_move` says whether a host can
-/// be in a pool at all.
-pub fn decide<T, F>(pools: &[PoolLoad<T>], limit: usize, may_move: F) -> Vec<Move<T>>
+/// Decides the moves. At most `switch_off_limit` of them switch a host off. `may_move` returns
+/// whether a host can be in a pool at all.
+pub fn decide<T, F>(pools: &[PoolLoad<T>], switch_off_limit: usize, may_move: F) -> Vec<Move<T>>
 where
     T: Clone + PartialEq,
     F: Fn(&T, &PoolName) -> bool,
 {
     let mut spare = spare_hosts(pools);
     let mut moves: Vec<Move<T>> = Vec::new();
-    let mut shared = false;
-    for want in wants(pools) {
-        let suits = |s: &Spare<'_, T>| {
-            s.from.pool != want.pool.pool
-                && want.label.is_none_or(|label| s.host.has(label))
-                && may_move(&s.host.host, &want.pool.pool)
+    let mut share_enforced = false;
+    for request in host_requests(pools) {
+        let suits = |s: &SpareHost<'_, T>| {
+            s.from.pool != request.pool.pool
+                && request.label.is_none_or(|label| s.host.has(label))
+                && may_move(&s.host.host, &request.pool.pool)
+        };
+        let near = |s: &SpareHost<'_, T>| {
+            s.host.labels.iter().any(|l| request.pool.data_racks.contains(l))
         };
-        let near =
-            |s: &Spare<'_, T>| s.host.labels.iter().any(|l| want.pool.data_racks.contains(l));
         let candidates = spare.iter().enumerate().filter(|(_, s)| suits(s));
-        let wasted = |s: &Spare<'_, T>| s.host.scarce && want.label.is_none();
+        let wasted = |s: &SpareHost<'_, T>| s.host.scarce && request.label.is_none();
         let best = candidates.min_by_key(|(position, s)| (wasted(s), !near(s), *position));
-        let to = want.pool.pool.clone();
+        let to = request.pool.pool.clone();
         if let Some((position, _)) = best {
-            let given = spare.remove(position);
-            moves.push(Move { host: given.host.host.clone(), to });
+            let chosen = spare.remove(position);
+            moves.push(Move { host: chosen.host.host.clone(), to });
             continue;
         }
-        let moved = |s: &Spare<'_, T>| moves.iter().any(|m| m.host == s.host.host);
-        let kept = kept_hosts(pools, &want).into_iter().find(|s| suits(s) && !moved(s));
-        if let Some(given) = kept {
-            moves.push(Move { host: given.host.host.clone(), to });
-        } else if !shared {
-            // One at a time: the next decision counts it where it goes.
-            let mut due = hosts_over_share(pools, &want).into_iter();
-            let given = due.find(|s| suits(s) && !moved(s));
-            shared = given.is_some();
-            moves.extend(given.map(|given| Move { host: given.host.host.clone(), to }));
+        let moved = |s: &SpareHost<'_, T>| moves.iter().any(|m| m.host == s.host.host);
+        let retained = retained_hosts(pools, &request).into_iter().find(|s| suits(s) && !moved(s));
+        if let Some(chosen) = retained {
+            moves.push(Move { host: chosen.host.host.clone(), to });
+        } else if !share_enforced {
+            // Only one per decision: the next decision counts the host in its new pool.
+            let mut due = hosts_over_share(pools, &request).into_iter();
+            let chosen = due.find(|s| suits(s) && !moved(s));
+            share_enforced = chosen.is_some();
+            moves.extend(chosen.map(|chosen| Move { host: chosen.host.host.clone(), to }));
         }
     }
     if let Some(standby) = pools.iter().find(|pool| pool.standby) {
-        moves.extend(switched_off(spare, standby, limit, may_move));
+        moves.extend(hosts_to_switch_off(spare, standby, switch_off_limit, may_move));
     }
     moves
 }
 
-/// Hosts that nobody needs, those idle longest first, `limit` at most.
-fn switched_off<'a, T, F>(
-    mut spare: Vec<Spare<'a, T>>,
+/// Selects hosts that no pool needs, those that have been idle the longest first, up to `limit`.
+fn hosts_to_switch_off<'a, T, F>(
+    mut spare: Vec<SpareHost<'a, T>>,
     standby: &PoolLoad<T>,
     limit: usize,
     may_move: F,
@@ -251,113 +258,123 @@
             && s.host.idle >= IDLE_BEFORE_OFF
             && may_move(&s.host.host, &standby.pool)
             && left.get_mut(&s.from.pool).is_some_and(|left| {
-                let given = *left > s.from.kept_on;
-                *left -= usize::from(given);
-                given
+                let surplus = *left > s.from.min_powered_on;
+                *left -= usize::from(surplus);
+                surplus
             })
     });
     let off = spare.into_iter().take(limit);
     off.map(|s| Move { host: s.host.host.clone(), to: standby.pool.clone() }).collect()
 }
 
-/// One host that a pool lacks.
-struct Want<'a, T> {
+/// A host that a pool is short of.
+struct HostRequest<'a, T> {
     pool: &'a PoolLoad<T>,
     label: Option<&'a str>,
-    /// Whatever another pool's hosts do, they are given for it.
-    pressing: bool,
+    /// Whether it justifies taking any host of another pool, even a busy one.
+    urgent: bool,
 }
 
-/// Hosts with a wanted label that pools would rather keep.
+/// Returns hosts with the requested label that other pools keep in reserve or use.
 ///
-/// Where few hosts have a label, one pool's idle reserve may hold the last of them while tasks of
-/// another wait for it beside dozens of others; for a lasting task even a busy one is emptied, as
-/// its users are without service until then.
-fn kept_hosts<'a, T>(pools: &'a [PoolLoad<T>], want: &Want<'a, T>) -> Vec<Spare<'a, T>> {
-    let Some(label) = want.label else { return Vec::new() };
-    let of = |from: &'a PoolLoad<T>, hosts: &'a [IdleHost<T>]| {
-        hosts.iter().map(move |host| Spare { host, from })
+/// Where few hosts have a label, the idle reserve of one pool may hold the last of them while tasks
+/// of another wait for it, with dozens of other hosts at hand. For a lasting task even a busy host
+/// is drained, as its users are without service until then.
+fn retained_hosts<'a, T>(
+    pools: &'a [PoolLoad<T>],
+    request: &HostRequest<'a, T>,
+) -> Vec<SpareHost<'a, T>> {
+    let Some(label) = request.label else { return Vec::new() };
+    let of = |from: &'a PoolLoad<T>, hosts: &'a [MovableHost<T>]| {
+        hosts.iter().map(move |host| SpareHost { host, from })
     };
-    let content = pools.iter().filter(|pool| !pool.needs_all(label));
-    let mut kept: Vec<Spare<'a, T>> = content.flat_map(|pool| of(pool, &pool.idle)).collect();
-    if want.pressing {
-        kept.extend(pools.iter().flat_map(|pool| of(pool, &pool.idle)));
-        kept.extend(pools.iter().flat_map(|pool| of(pool, &pool.busy)));
+    let satisfied = pools.iter().filter(|pool| !pool.uses_all(label));
+    let mut retained: Vec<SpareHost<'a, T>> =
+        satisfied.flat_map(|pool| of(pool, &pool.idle)).collect();
+    if request.urgent {
+        retained.extend(pools.iter().flat_map(|pool| of(pool, &pool.idle)));
+        retained.extend(pools.iter().flat_map(|pool| of(pool, &pool.busy)));
     }
-    kept
+    retained
 }
 
-/// Hosts with a wanted label of pools that have more than their share of them, idle ones first,
-/// while the pool that wants one has none.
-fn hosts_over_share<'a, T>(pools: &'a [PoolLoad<T>], want: &Want<'a, T>) -> Vec<Spare<'a, T>> {
-    let Some(label) = want.label else { return Vec::new() };
-    let claims: Vec<Claim> = pools.iter().map(|pool| pool.claim(label)).collect();
-    let shares = label_shares::shares(&claims);
-    let own = pools.iter().position(|pool| pool.pool == want.pool.pool);
-    // A pool that has one serves its tasks in the end; to move a busy host for more of them costs
-    // more than it brings.
-    if own.is_none_or(|own| claims[own].hosts > 0 || shares[own] == 0) {
+/// Returns hosts with the requested label from pools that have more than their share of them, idle
+/// ones first, if the requesting pool has none and is entitled to one.
+fn hosts_over_share<'a, T>(
+    pools: &'a [PoolLoad<T>],
+    request: &HostRequest<'a, T>,
+) -> Vec<SpareHost<'a, T>> {
+    let Some(label) = request.label else { return Vec::new() };
+    let demands: Vec<PoolDemand> = pools.iter().map(|pool| pool.label_demand(label)).collect();
+    let shares = label_shares::shares(&demands);
+    let own = pools.iter().position(|pool| pool.pool == request.pool.pool);
+    // A pool that has such a host serves its tasks in the end. Moving a busy host to give it more
+    // of them costs more than it gains.
+    if own.is_none_or(|own| demands[own].hosts > 0 || shares[own] == 0) {
         return Vec::new();
     }
-    let over = pools.iter().zip(claims.iter().zip(&shares));
-    let over = over.filter(|(_, (claim, share))| claim.hosts > **share);
+    let over = pools.iter().zip(demands.iter().zip(&shares));
+    let over = over.filter(|(_, (pool_demand, share))| pool_demand.hosts > **share);
     let hosts = over.flat_map(|(from, _)| {
-        from.idle.iter().chain(&from.busy).map(move |host| Spare { host, from })
+        from.idle.iter().chain(&from.busy).map(move |host| SpareHost { host, from })
     });
     hosts.collect()
 }
 
-/// The hosts that pools lack. Those for lasting tasks come first, whose users are without service
-/// until then; then those of a gang that no pool can hold yet; then labels, as few hosts have them; then the pool that lacks least, as it can be
-/// helped whole.
-fn wants<T>(pools: &[PoolLoad<T>]) -> Vec<Want<'_, T>> {
-    let mut wants = Vec::new();
+/// Returns the hosts that pools are short of, in order of precedence: hosts for lasting tasks,
+/// whose users are without service until then; hosts for a gang that no pool can hold yet; hosts
+/// with labels, as few have them; and then the hosts of the pool with the smallest shortage, as it
+/// can be met in full.
+fn host_requests<T>(pools: &[PoolLoad<T>]) -> Vec<HostRequest<'_, T>> {
+    let mut requests = Vec::new();
     let mut short: Vec<(usize, &PoolLoad<T>)> = Vec::new();
     for pool in pools.iter().filter(|pool| !pool.standby) {
-        let labels = pool.lasting.iter().map(Option::as_deref);
-        wants.extend(labels.map(|label| Want { pool, label, pressing: true }));
+        let labels = pool.missing_for_lasting.iter().map(Option::as_deref);
+        requests.extend(labels.map(|label| HostRequest { pool, label, urgent: true }));
     }
     for pool in pools.iter().filter(|pool| !pool.standby) {
-        let labels = pool.gang.iter().map(Option::as_deref);
-        wants.extend(labels.map(|label| Want { pool, label, pressing: false }));
+        let labels = pool.missing_for_gang.iter().map(Option::as_deref);
+        requests.extend(labels.map(|label| HostRequest { pool, label, urgent: false }));
     }
     for pool in pools.iter().filter(|pool| !pool.standby) {
-        for label in &pool.labelled {
-            let lacks = pool.lacks(label);
-            let one = |_| Want { pool, label: Some(&*label.label), pressing: false };
-            wants.extend((0..lacks).map(one));
+        for label in &pool.label_demands {
+            let lacking = pool.label_shortage(label);
+            let one = |_| HostRequest { pool, label: Some(&*label.label), urgent: false };
+            requests.extend((0..lacking).map(one));
         }
-        short.push((pool.missing(), pool));
+        short.push((pool.shortage(), pool));
     }
-    short.sort_by_key(|(missing, _)| *missing);
-    for (missing, pool) in short {
-        wants.extend((0..missing).map(|_| Want { pool, label: None, pressing: false }));
+    short.sort_by_key(|(shortage, _)| *shortage);
+    for (shortage, pool) in short {
+        requests.extend((0..shortage).map(|_| HostRequest { pool, label: None, urgent: false }));
     }
-    wants
+    requests
 }
 
-struct Spare<'a, T> {
-    host: &'a IdleHost<T>,
+/// A host that may be given away, with its pool.
+struct SpareHost<'a, T> {
+    host: &'a MovableHost<T>,
     from: &'a PoolLoad<T>,
 }
 
-/// Hosts that can be given away: those that are off first, then those idle longest.
-fn spare_hosts<T>(pools: &[PoolLoad<T>]) -> Vec<Spare<'_, T>> {
+/// Returns the hosts that their pools can give away: those that are off, then those that have been
+/// idle the longest.
+fn spare_hosts<T>(pools: &[PoolLoad<T>]) -> Vec<SpareHost<'_, T>> {
     let mut spare = Vec::new();
     for pool in pools {
-        let mut labelled = pool.labelled.clone();
-        let mut left = pool.to_give();
-        let mut idle: Vec<&IdleHost<T>> = pool.idle.iter().collect();
+        let mut labelled = pool.label_demands.clone();
+        let mut left = pool.surplus_idle();
+        let mut idle: Vec<&MovableHost<T>> = pool.idle.iter().collect();
         idle.sort_by_key(|host| std::cmp::Reverse(host.idle));
         for host in idle {
             let mut own = labelled.iter_mut().filter(|label| host.has(&label.label));
-            let needed = own.any(|l| l.hosts <= l.need.hosts(&pool.host));
-            if left == 0 || needed {
+            let in_use = own.any(|l| l.hosts <= l.demand.hosts(&pool.host_size));
+            if left == 0 || in_use {
                 continue;
             }
             labelled.iter_mut().filter(|l| host.has(&l.label)).for_each(|l| l.hosts -= 1);
             left -= 1;
-            spare.push(Spare { host, from: pool });
+            spare.push(SpareHost { host, from: pool });
         }
     }
     spare.sort_by_key(|s| (!s.from.standby, std::cmp::Reverse(s.host.idle)));
--- a/crates/borageswitch_scheduler/src/policy/lending/tests.rs
+++ b/crates/borageswitch_scheduler/src/policy/lending/tests.rs
@@ -1,4 +1,4 @@
-//! Which hosts change their pool, under the load that asks for them.
+//! Which hosts move to another pool, under the load that requires it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,15 +8,15 @@
 
 use borageswitch_types::names::PoolName;
 
-use super::{self as lending, IdleHost, LabelNeed, Move, Need, PoolLoad};
+use super::{self as lending, Demand, LabelDemand, MovableHost, Move, PoolLoad};
 use crate::job::Size;
 
 fn cores(cores: u64) -> Size {
     Size { cpu_milli: cores * 1_000, memory_mb: cores * 1_000, accelerators: 0 }
 }
 
-fn idle(hosts: &[(&'static str, u64, &str)]) -> Vec<IdleHost<&'static str>> {
-    let each = hosts.iter().map(|(host, ms, label)| IdleHost {
+fn idle(hosts: &[(&'static str, u64, &str)]) -> Vec<MovableHost<&'static str>> {
+    let each = hosts.iter().map(|(host, ms, label)| MovableHost {
         host: *host,
         idle: Duration::from_millis(*ms),
         labels: vec![Arc::from(*label)],
@@ -36,27 +36,28 @@
         hosts,
         idle: idle(idle_hosts),
         busy: Vec::new(),
-        need: Need::default(),
-        labelled: Vec::new(),
-        lasting: Vec::new(),
-        gang: Vec::new(),
-        label_hosts: BTreeMap::new(),
+        demand: Demand::default(),
+        label_demands: Vec::new(),
+        missing_for_lasting: Vec::new(),
+        missing_for_gang: Vec::new(),
+        hosts_by_label: BTreeMap::new(),
         data_racks: BTreeSet::new(),
         arriving_cores: 0.0,
-        host: cores(64),
+        host_size: cores(64),
         has_short_work: true,
-        kept_on: 0,
+        min_powered_on: 0,
     }
 }
 
-fn wanting(hosts: u64) -> Need {
-    Need { demand: cores(hosts * 54), apart: 0 }
+fn demand_for(hosts: u64) -> Demand {
+    Demand { resources: cores(hosts * 54), separate_hosts: 0 }
 }
 
 #[test]
-fn a_pool_in_its_turn_gets_hosts_that_are_off_and_then_idle_ones() {
-    // One queue's turn begins while the others rest: its pool holds a quarter of what it asks for.
-    let busy = PoolLoad { need: wanting(5), ..load("roster", 2, &[]) };
+fn a_pool_at_its_peak_gets_hosts_that_are_off_and_then_idle_ones() {
+    // One queue has a load peak while the others are quiet: its pool has a quarter of the capacity
+    // that it requests.
+    let busy = PoolLoad { demand: demand_for(5), ..load("roster", 2, &[]) };
     let hosts = [("t1", 100, "a"), ("t2", 90, "a"), ("t3", 80, "a"), ("t4", 70, "a")];
     let idle = load("tender", 5, &hosts);
     let off = PoolLoad { standby: true, ..load("spare", 1, &[("s1", 0, "a")]) };
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn an_idle_host_is_switched_off_but_a_few_stay_for_the_next_turn() {
+fn idle_hosts_are_switched_off_but_a_few_stay_for_the_next_peak() {
     let hosts = [("t1", 5_000, "a"), ("t2", 5_000, "a"), ("t3", 5_000, "a"), ("t4", 5_000, "a")];
     let idle = load("tender", 4, &hosts);
     let off = PoolLoad { standby: true, ..load("spare", 0, &[]) };
@@ -82,7 +83,7 @@
 
 #[test]
 fn a_host_that_cannot_be_in_a_pool_is_not_sent_there() {
-    let busy = PoolLoad { need: wanting(1), ..load("roster", 0, &[]) };
+    let busy = PoolLoad { demand: demand_for(1), ..load("roster", 0, &[]) };
     let off = PoolLoad { standby: true, ..load("spare", 1, &[("s1", 0, "a")]) };
 
     let moves = lending::decide(&[busy, off], usize::MAX, |_, _| false);
@@ -92,23 +93,24 @@
 
 #[test]
 fn a_task_that_needs_a_label_gets_a_host_that_has_it() {
-    // Only some hosts have what a task needs. Were they switched off like any other, or lent to a
-    // pool that can do without, the task would wait for ever beside idle hosts.
-    let need = Need { demand: cores(1), apart: 1 };
-    let label = LabelNeed { label: "b".into(), need, waiting: need.demand.cpu_milli, hosts: 0 };
-    let wants = PoolLoad { need, labelled: vec![label], ..load("roster", 3, &[]) };
+    // Only some hosts have what a task needs. If they were switched off like any other, or lent to
+    // a pool that does not need the label, the task would wait forever beside idle hosts.
+    let demand = Demand { resources: cores(1), separate_hosts: 1 };
+    let label =
+        LabelDemand { label: "b".into(), demand, waiting: demand.resources.cpu_milli, hosts: 0 };
+    let requester = PoolLoad { demand, label_demands: vec![label], ..load("roster", 3, &[]) };
     let off = PoolLoad { standby: true, ..load("spare", 2, &[("s1", 0, "a"), ("s2", 0, "b")]) };
 
-    let moves = lending::decide(&[wants, off], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[requester, off], usize::MAX, |_, _| true);
 
     assert_eq!(moves, [Move { host: "s2", to: PoolName::from("roster") }]);
 }
 
 #[test]
-fn a_scarce_host_is_left_to_those_who_need_it() {
-    // A pool whose tasks can run anywhere takes the only host of a kind; a job that needs the kind
-    // waits until the rush is over.
-    let busy = PoolLoad { need: wanting(1), ..load("roster", 0, &[]) };
+fn a_scarce_host_is_left_to_tasks_that_need_it() {
+    // A pool whose tasks can run anywhere takes the only host of a kind, and a job that needs the
+    // kind waits until the load peak is over.
+    let busy = PoolLoad { demand: demand_for(1), ..load("roster", 0, &[]) };
     let off = PoolLoad { standby: true, ..load("spare", 2, &[("s1", 0, "b"), ("s2", 0, "a")]) };
 
     let moves = lending::decide(&[busy, off], usize::MAX, |_, _| true);
@@ -118,104 +120,108 @@
 
 #[test]
 fn the_last_host_with_a_label_in_demand_stays() {
-    let need = Need { demand: cores(1), apart: 1 };
-    let label = LabelNeed { label: "b".into(), need, waiting: need.demand.cpu_milli, hosts: 1 };
+    let demand = Demand { resources: cores(1), separate_hosts: 1 };
+    let label =
+        LabelDemand { label: "b".into(), demand, waiting: demand.resources.cpu_milli, hosts: 1 };
     let idle = [("t1", 9_000, "b"), ("t2", 9_000, "a"), ("t3", 9_000, "a"), ("t4", 9_000, "a")];
-    let rests = PoolLoad { labelled: vec![label], ..load("tender", 4, &idle) };
+    let quiet = PoolLoad { label_demands: vec![label], ..load("tender", 4, &idle) };
     let off = PoolLoad { standby: true, ..load("spare", 0, &[]) };
 
-    let moves = lending::decide(&[rests, off], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[quiet, off], usize::MAX, |_, _| true);
 
     assert!(!moves.is_empty());
     assert!(moves.iter().all(|m| m.host != "t1"), "{moves:?}");
 }
 
 #[test]
-fn a_reserve_gives_up_the_last_host_with_a_wanted_label() {
-    // Two pools keep idle hosts for their next turn, among them the only free one with a label.
-    // Kept there, the tasks of a third pool that need it would wait beside it.
-    let need = Need { demand: cores(1), apart: 1 };
-    let label = LabelNeed { label: "b".into(), need, waiting: need.demand.cpu_milli, hosts: 0 };
-    let wants = PoolLoad { labelled: vec![label], ..load("roster", 3, &[]) };
-    let rests = load("tender", 2, &[("t1", 9_000, "a"), ("t2", 9_000, "b")]);
+fn a_pool_gives_up_its_idle_reserve_for_a_requested_label() {
+    // A pool keeps idle hosts for its next load peak, among them the only free one with a label. If
+    // it stayed there, the tasks of another pool that need it would wait beside it.
+    let demand = Demand { resources: cores(1), separate_hosts: 1 };
+    let label =
+        LabelDemand { label: "b".into(), demand, waiting: demand.resources.cpu_milli, hosts: 0 };
+    let requester = PoolLoad { label_demands: vec![label], ..load("roster", 3, &[]) };
+    let quiet = load("tender", 2, &[("t1", 9_000, "a"), ("t2", 9_000, "b")]);
     let off = PoolLoad { standby: true, ..load("spare", 1, &[("s1", 0, "a")]) };
 
-    let moves = lending::decide(&[wants, rests, off], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[requester, quiet, off], usize::MAX, |_, _| true);
 
     assert_eq!(moves, [Move { host: "t2", to: PoolName::from("roster") }]);
 }
 
 #[test]
 fn a_lasting_task_gets_a_host_that_short_tasks_use() {
-    // Short tasks of another pool work off their backlog on all hosts with a label. A lasting task
+    // Short tasks of another pool work through a backlog on all hosts with a label. A lasting task
     // that waited for them would leave its users without service for as long as the backlog lasts.
-    let need = Need { demand: cores(900), apart: 1 };
-    let label = LabelNeed { label: "b".into(), need, waiting: need.demand.cpu_milli, hosts: 1 };
+    let demand = Demand { resources: cores(900), separate_hosts: 1 };
+    let label =
+        LabelDemand { label: "b".into(), demand, waiting: demand.resources.cpu_milli, hosts: 1 };
     let busy = idle(&[("t1", 0, "b")]);
-    let rushes = PoolLoad { labelled: vec![label], busy, ..load("tender", 1, &[]) };
-    let wants = PoolLoad { lasting: vec![Some("b".into())], ..load("roster", 3, &[]) };
+    let loaded = PoolLoad { label_demands: vec![label], busy, ..load("tender", 1, &[]) };
+    let requester =
+        PoolLoad { missing_for_lasting: vec![Some("b".into())], ..load("roster", 3, &[]) };
 
-    let moves = lending::decide(&[rushes, wants], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[loaded, requester], usize::MAX, |_, _| true);
 
     assert_eq!(moves, [Move { host: "t1", to: PoolName::from("roster") }]);
 }
 
 #[test]
-fn a_scarce_label_is_shared_although_no_host_with_it_is_ever_idle() {
-    // One host in all has a label, and its pool keeps it busy with tasks that can do without. The
-    // tasks of another pool that need it wait; were hosts given only when idle, they would for ever.
-    let need = wanting(3);
-    let label = LabelNeed { label: "b".into(), need, waiting: 1_000, hosts: 0 };
-    let starved = PoolLoad { labelled: vec![label], ..load("roster", 4, &[]) };
-    let content = PoolLoad {
-        need: wanting(5),
+fn hosts_with_a_scarce_label_are_shared_even_if_none_is_ever_idle() {
+    // Only one host has a label, and its pool keeps it busy with tasks that do not need it. If only
+    // idle hosts were lent, the tasks of another pool that need it would wait forever.
+    let demand = demand_for(3);
+    let label = LabelDemand { label: "b".into(), demand, waiting: 1_000, hosts: 0 };
+    let starved = PoolLoad { label_demands: vec![label], ..load("roster", 4, &[]) };
+    let satisfied = PoolLoad {
+        demand: demand_for(5),
         busy: idle(&[("h", 0, "b")]),
-        label_hosts: BTreeMap::from([("b".into(), 1)]),
+        hosts_by_label: BTreeMap::from([("b".into(), 1)]),
         ..load("tender", 5, &[])
     };
 
-    let moves = lending::decide(&[starved, content], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[starved, satisfied], usize::MAX, |_, _| true);
 
     assert_eq!(moves, [Move { host: "h", to: PoolName::from("roster") }]);
 }
 
 #[test]
-fn a_pool_keeps_on_what_its_next_rush_will_need() {
-    // A fleet of thousands of hosts between two rushes of one queue.
+fn a_pool_keeps_the_hosts_powered_on_that_its_next_peak_will_need() {
+    // A fleet of thousands of hosts between two load peaks of one queue.
     let hosts = [("t1", 9_000, "a"), ("t2", 8_000, "a"), ("t3", 7_000, "a"), ("t4", 6_000, "a")];
-    let rests = PoolLoad { kept_on: 3, has_short_work: false, ..load("tender", 4, &hosts) };
+    let quiet = PoolLoad { min_powered_on: 3, has_short_work: false, ..load("tender", 4, &hosts) };
     let off = PoolLoad { standby: true, ..load("spare", 0, &[]) };
 
-    let moves = lending::decide(&[rests, off], usize::MAX, |_, _| true);
+    let moves = lending::decide(&[quiet, off], usize::MAX, |_, _| true);
 
     assert_eq!(moves, [Move { host: "t1", to: PoolName::from("spare") }]);
 }
 
 #[test]
-fn no_more_hosts_are_switched_off_at_once_than_calls_are_left_for() {
+fn no_more_hosts_are_switched_off_than_the_call_budget_allows() {
     let hosts = [("t1", 9_000, "a"), ("t2", 8_000, "a"), ("t3", 7_000, "a"), ("t4", 6_000, "a")];
-    let rests = PoolLoad { has_short_work: false, ..load("tender", 4, &hosts) };
-    let wants = PoolLoad { need: wanting(2), ..load("roster", 0, &[]) };
+    let quiet = PoolLoad { has_short_work: false, ..load("tender", 4, &hosts) };
+    let requester = PoolLoad { demand: demand_for(2), ..load("roster", 0, &[]) };
     let off = PoolLoad { standby: true, ..load("spare", 0, &[]) };
 
-    let moves = lending::decide(&[rests, wants, off], 1, |_, _| true);
+    let moves = lending::decide(&[quiet, requester, off], 1, |_, _| true);
 
     let switched_off = moves.iter().filter(|m| m.to.as_str() == "spare").count();
     assert_eq!((moves.len(), switched_off), (3, 1));
 }
 
 #[test]
-fn a_new_leader_keeps_hosts_on_until_it_knows_the_load() {
-    // The site starts, and nothing comes for some seconds. Then the first turn begins at full rate.
-    // With its hosts switched off, the first seconds of jobs wait until they are back, and all that
-    // comes behind them is late as well.
+fn a_new_leader_keeps_hosts_powered_on_until_it_knows_the_load() {
+    // The site starts, and no work arrives for some seconds. Then the first load peak begins at its
+    // full rate. With the hosts switched off, the first seconds of jobs wait until they are back,
+    // and all later jobs are late as well.
     let hosts = [("t1", 9_000, "a"), ("t2", 9_000, "a"), ("t3", 9_000, "a"), ("t4", 9_000, "a")];
-    let silent =
-        PoolLoad { kept_on: usize::MAX, has_short_work: false, ..load("tender", 4, &hosts) };
+    let without_load =
+        PoolLoad { min_powered_on: usize::MAX, has_short_work: false, ..load("tender", 4, &hosts) };
     let off = PoolLoad { standby: true, ..load("spare", 0, &[]) };
-    let busy = PoolLoad { need: wanting(2), ..load("roster", 1, &[]) };
+    let busy = PoolLoad { demand: demand_for(2), ..load("roster", 1, &[]) };
 
-    assert_eq!(lending::decide(&[silent.clone(), off], usize::MAX, |_, _| true), []);
-    // Another pool that lacks them gets them all the same.
-    assert_eq!(lending::decide(&[silent, busy], usize::MAX, |_, _| true).len(), 1);
+    assert_eq!(lending::decide(&[without_load.clone(), off], usize::MAX, |_, _| true), []);
+    // Another pool that is short of them still gets them.
+    assert_eq!(lending::decide(&[without_load, busy], usize::MAX, |_, _| true).len(), 1);
 }
--- a/crates/borageswitch_scheduler/src/policy/mod.rs
+++ b/crates/borageswitch_scheduler/src/policy/mod.rs
@@ -1,27 +1,27 @@
-//! Whom to serve first, where to place, whom to distrust.
+//! Scheduling policies: pure decisions about order, placement, capacity and failures.
 //!
-//! Nothing here knows the network, the store or the clock: each module is a decision, tells the
-//! load that it answers and what would happen without it, and is tested by replaying that load.
+//! These modules do no I/O and read no clock. Each one makes a single decision; its docs describe
+//! the load that it is made for and what would go wrong without it, and its tests replay that load.
 //!
-//! - [`order`]: which job's tasks go first when there is not room for all.
-//! - [`last_chance`]: which late jobs go first nevertheless.
+//! - [`order`]: which job's tasks go first when capacity is short.
+//! - [`last_chance`]: which late jobs go first all the same.
 //! - [`placement`]: which host a task goes to.
-//! - [`runtime_estimates`]: what tasks really take, since declared run times are far off.
-//! - [`lending`]: which hosts change their pool, by the work that [`arrivals`] tells of.
-//! - [`peaks`]: how many hosts a pool keeps on between two rushes.
-//! - [`call_budget`]: how many orders for hosts are given a second.
-//! - [`gangs`]: which hosts are kept free for tasks that work only together.
-//! - [`label_shares`]: how pools share the hosts with a label of which there are too few.
-//! - [`lasting`]: which more hosts lasting tasks need.
+//! - [`runtime_estimates`]: how long tasks take, as declared run times are far off.
+//! - [`lending`]: which hosts move to another pool, by the work that [`arrivals`] measures.
+//! - [`peaks`]: how many hosts a pool keeps powered on between two load peaks.
+//! - [`call_budget`]: how many orders for hosts are sent to the platform per second.
+//! - [`gangs`]: which hosts are reserved for tasks that work only together.
+//! - [`label_shares`]: how pools share a label's hosts when there are too few of them.
+//! - [`lasting`]: which additional hosts lasting tasks need.
 //! - [`quotas`]: how many of a caller's tasks may start.
-//! - [`caller_shares`]: which jobs are within what their caller was promised.
-//! - [`crash_attribution`]: which task brings executors down, and which merely ran beside it.
-//! - [`crash_rate`]: how often executors crash under tasks that have nothing to do with it.
-//! - [`circuit_breaker`]: which executors get work although some of theirs failed.
-//! - [`start_window`]: how many starts are on their way at once.
-//! - [`start_backoff`]: how long a task waits after starts that came to nothing.
-//! - [`stragglers`]: which runs are given up for a new one elsewhere.
-//! - [`speed_limits`]: how fast work that fills gaps may run beside work that serves.
+//! - [`caller_shares`]: which jobs are within the rate that their caller was promised.
+//! - [`crash_attribution`]: which task crashes executors, and which merely ran beside it.
+//! - [`crash_rate`]: how often executors crash for reasons unrelated to a task.
+//! - [`circuit_breaker`]: which executors get no work because runs failed there.
+//! - [`start_window`]: how many starts are in flight at once.
+//! - [`start_backoff`]: how long a task waits after failed starts.
+//! - [`stragglers`]: which slow runs are stopped and restarted on another host.
+//! - [`speed_limits`]: how fast best-effort tasks may run beside serving tasks.
 
 pub mod arrivals;
 pub mod call_budget;
--- a/crates/borageswitch_scheduler/src/policy/order.rs
+++ b/crates/borageswitch_scheduler/src/policy/order.rs
@@ -1,64 +1,64 @@
-//! Which job's tasks go first when there is not room for all.
+//! Orders jobs by urgency, for when capacity is short.
 //!
-//! The load: each queue in its turn asks for several times what its pool holds, for some seconds,
-//! and for almost nothing in between. A job that ends in time is worth about fourteen times one
-//! that ends late. Serving first come, first served, or by the earliest deadline, keeps the pool
-//! busy with jobs that are just about to be late, and in the end all are. So a job that can still
-//! be on time goes before one that cannot, and what is late runs in what is left.
+//! Each queue at times requests several times the capacity of its pool for some seconds, and almost
+//! nothing in between. A job that ends on time is worth about fourteen times one that ends late.
+//! Serving first come, first served, or by the earliest deadline, keeps the pool busy with jobs
+//! that are just about to be late, and in the end all are. So a job that can still be on time goes
+//! before one that cannot, and late jobs use the remaining capacity.
 
 use std::time::Duration;
 
 use borageswitch_types::Time;
 
-/// What the order of jobs depends on.
+/// The properties of a job that determine its urgency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobView {
-    /// It lasts until it is cancelled.
+    /// Whether it is a lasting job, which runs until it is cancelled.
     pub lasting: bool,
-    /// Its caller had handed in its share already.
+    /// Whether its caller had used up its promised rate when it submitted the job.
     pub beyond_share: bool,
-    /// The queue's priority; 0 comes first.
+    /// The priority of the queue; 0 comes first.
     pub priority: u32,
     /// When it was accepted.
     pub accepted: Time,
-    /// It is on time until then.
+    /// The time until which it is on time.
     pub deadline: Time,
-    /// It is of use until then, though late.
+    /// The time until which it is of use, though late.
     pub useful_until: Time,
-    /// The longest chain of work that is left.
+    /// The remaining critical path: the longest chain of work that is left.
     pub remaining: Duration,
 }
 
-/// How urgent a job is: the least goes first.
+/// The urgency of a job. The smallest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     class: Class,
     priority: u32,
-    by: Time,
+    order_time: Time,
 }
 
 /// The classes of urgency, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Lasting tasks: their users are without service until they run.
+    /// Its tasks are lasting: their users are without service until they run.
     Lasting,
     /// It will be late, and of no use unless it runs now.
     LastChance,
     /// It can still be on time.
     OnTime,
-    /// It can still be on time, but is beyond what its caller was promised.
+    /// It can still be on time, but exceeds the rate that its caller was promised.
     Beyond,
     /// It will be late, but is still of use.
     Late,
-    /// It is of little use any more; it is done all the same.
+    /// It is hardly of use any more, but is still run.
     Overdue,
 }
 
 impl Urgency {
-    /// How urgent a job is now.
+    /// Determines the urgency of a job at `now`.
     pub fn of(job: &JobView, now: Time) -> Urgency {
         let end = now + job.remaining;
-        let (class, by) = if job.lasting {
+        let (class, order_time) = if job.lasting {
             (Class::Lasting, job.accepted)
         } else if job.beyond_share && end <= job.deadline {
             (Class::Beyond, job.deadline)
@@ -69,25 +69,26 @@
         } else {
             (Class::Overdue, job.accepted)
         };
-        Urgency { class, priority: job.priority, by }
+        Urgency { class, priority: job.priority, order_time }
     }
 
-    /// The class.
+    /// Returns the class.
     pub fn class(&self) -> Class {
         self.class
     }
 
-    /// The same job, let ahead of those that can be on time: see [`last_chance`](super::last_chance).
-    pub fn let_ahead(self) -> Urgency {
+    /// Moves the job ahead of those that can be on time; see [`last_chance`](super::last_chance).
+    pub fn as_last_chance(self) -> Urgency {
         Urgency { class: Class::LastChance, ..self }
     }
 
-    /// Whether its tasks last until it is cancelled.
+    /// Returns whether the job is lasting.
     pub fn is_lasting(&self) -> bool {
         self.class == Class::Lasting
     }
 
-    /// Whether it will be late, if it is of use at all.
+    /// Returns whether the job is expected to be late or exceeds the rate that its caller was
+    /// promised.
     pub fn is_late(&self) -> bool {
         !matches!(self.class, Class::Lasting | Class::OnTime)
     }
--- a/crates/borageswitch_scheduler/src/policy/placement.rs
+++ b/crates/borageswitch_scheduler/src/policy/placement.rs
@@ -1,48 +1,50 @@
-//! Which host a task goes to.
+//! Chooses the host for a task.
 //!
-//! The load: wide and narrow tasks of many jobs on hosts of a few dozen cores. Spreading them
-//! evenly leaves a little room everywhere and nowhere enough for the largest tasks, so the largest
-//! tenth of jobs would wait the longest; and every host would be in use, so none could be switched
-//! off, lent or maintained. Tasks therefore go to hosts that are in use, and there to where the
-//! least is left over.
+//! Wide and narrow tasks of many jobs run on hosts of a few dozen cores. Spreading them evenly
+//! leaves a little free capacity everywhere and nowhere enough for the largest tasks, so the
+//! largest tenth of jobs would wait the longest; and as every host would be in use, none could be
+//! switched off, lent or maintained. Tasks therefore go to hosts that are in use, and among these
+//! to the one with the least capacity left over (best fit).
 //!
-//! Tasks under which executors have crashed, and all others, keep away from hosts with such tasks
-//! while there is other room: a second crash then says more, and takes less with it.
+//! Tasks under which executors have crashed, and all other tasks, avoid hosts with such tasks while
+//! there is other capacity: a second crash then tells more about its cause and affects fewer tasks.
 //!
-//! Tasks that fill gaps slow down tasks that serve users on the same host, by amounts that differ
-//! by program and change within seconds, so the two are kept apart as long as there is room.
+//! Best-effort tasks slow down tasks that serve users on the same host, by amounts that differ by
+//! program and change within seconds, so the two are kept apart as long as there is capacity.
 
 use crate::job::Size;
 
 /// A host that may run a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<T> {
-    /// Which.
+    /// The host.
     pub id: T,
-    /// What it has left.
+    /// Its free capacity.
     pub free: Size,
-    /// Tasks that it has under which executors have crashed, and that may crash it yet.
+    /// The number of its tasks under which executors have crashed and that have not been cleared
+    /// yet.
     pub suspects: usize,
-    /// It has crashed again and again.
-    pub unsteady: bool,
-    /// How many tasks it has.
+    /// Whether it has crashed repeatedly.
+    pub crash_prone: bool,
+    /// The number of tasks on it.
     pub tasks: usize,
-    /// The task would disturb what serves there, or be disturbed.
-    pub disturbs: bool,
-    /// It is of a scarce kind that the task can do without.
-    pub wasted: bool,
-    /// It stands where the task is fastest.
-    pub near: bool,
-    /// Something runs on it.
+    /// Whether the task would slow down a serving task there, or be a serving task that is slowed
+    /// down.
+    pub interferes: bool,
+    /// Whether it is of a scarce kind that the task does not need.
+    pub wastes_scarce: bool,
+    /// Whether it is close to the data of the task and the job has not failed there.
+    pub preferred: bool,
+    /// Whether anything runs on it.
     pub in_use: bool,
-    /// Tasks of the same step that it has; counted for tasks that fill gaps only. Each of them
-    /// takes its time to move away when the host is to be emptied.
+    /// The number of its tasks of the same step, for best-effort tasks only: each of them takes
+    /// time to move away when the host is drained.
     pub siblings: usize,
-    /// Tasks of the same step in its rack; counted for lasting tasks only.
+    /// The number of tasks of the same step in its rack, for lasting tasks only.
     pub rack_siblings: usize,
 }
 
-/// The best host for a task of `size`, if any has room.
+/// Returns the best host for a task of `size`, if any has the capacity.
 pub fn choose<T, I>(size: &Size, candidates: I) -> Option<T>
 where
     T: Copy,
@@ -51,23 +53,24 @@
     let fitting = candidates.into_iter().filter(|candidate| candidate.free.holds(size));
     let best = fitting.min_by_key(|candidate| {
         let left = candidate.free.less(size).cpu_milli;
-        let Candidate { suspects, disturbs, wasted, near, in_use, siblings, .. } = *candidate;
+        let Candidate { suspects, interferes, wastes_scarce, preferred, in_use, siblings, .. } =
+            *candidate;
         let rack_siblings = candidate.rack_siblings;
-        (suspects, disturbs, wasted, !near, !in_use, siblings, rack_siblings, left)
+        (suspects, interferes, wastes_scarce, !preferred, !in_use, siblings, rack_siblings, left)
     })?;
     Some(best.id)
 }
 
-/// The best host for a task of `size` that has to run apart from all suspects: a steady one where
-/// the least is lost if it crashes.
-pub fn choose_apart<T, I>(size: &Size, candidates: I) -> Option<T>
+/// Returns the best host for a task of `size` that must run apart from all suspects: one that is
+/// not crash-prone and where the fewest tasks are lost if it crashes.
+pub fn choose_isolated<T, I>(size: &Size, candidates: I) -> Option<T>
 where
     T: Copy,
     I: IntoIterator<Item = Candidate<T>>,
 {
-    let apart = candidates
+    let without_suspects = candidates
         .into_iter()
         .filter(|candidate| candidate.free.holds(size) && candidate.suspects == 0);
-    let best = apart.min_by_key(|candidate| (candidate.unsteady, candidate.tasks))?;
+    let best = without_suspects.min_by_key(|candidate| (candidate.crash_prone, candidate.tasks))?;
     Some(best.id)
 }
--- a/crates/borageswitch_scheduler/src/policy/runtime_estimates.rs
+++ b/crates/borageswitch_scheduler/src/policy/runtime_estimates.rs
@@ -1,26 +1,27 @@
-//! What tasks really take, since declared run times are far off.
+//! Estimates how long tasks really take, as declared run times are far off.
 //!
-//! The load: estimates that are wrong by a fifth to nine tenths. Whatever is decided from them
-//! alone, such as which job can still be on time, would be wrong by as much.
+//! Declared run times are wrong by a fifth to nine tenths. A decision based on them alone, such as
+//! which job can still be on time, would be wrong by as much.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use borageswitch_types::names::QueueName;
 
-/// The weight of a new observation. Some ten tasks a job and queue: one job's tasks move the
-/// estimate by about two thirds.
+/// The weight of a new observation. A job has some ten tasks in a queue, so one job's tasks move
+/// the estimate by about two thirds.
 const WEIGHT: f64 = 0.1;
-/// Ratios beyond these are of runs that hung or were mistaken; they are counted as these.
+/// The limits of an observed ratio. Ratios beyond them are of runs that hung or were measured
+/// wrongly.
 const RATIO_RANGE: (f64, f64) = (0.1, 10.0);
 
-/// What the tasks of each queue take, in relation to what was declared.
+/// The ratio of actual to declared run times, by queue.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct RuntimeEstimates {
     ratios: BTreeMap<QueueName, f64>,
 }
 
-impl Learned {
-    /// A task with a declared run time took so long.
+impl RuntimeEstimates {
+    /// Records how long a task with a declared run time took.
     pub fn observe(&mut self, queue: &QueueName, declared: Duration, took: Duration) {
         if declared.is_zero() {
             return;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// What a task of a queue with a declared run time will take.
-    pub fn expect(&self, queue: &QueueName, declared: Duration) -> Duration {
+    /// Estimates how long a task of a queue with a declared run time will take.
+    pub fn estimate(&self, queue: &QueueName, declared: Duration) -> Duration {
         let ratio = self.ratios.get(queue).copied().unwrap_or(1.0);
         declared.mul_f64(ratio)
     }
--- a/crates/borageswitch_scheduler/src/policy/speed_limits.rs
+++ b/crates/borageswitch_scheduler/src/policy/speed_limits.rs
@@ -1,30 +1,31 @@
-//! How fast work that fills gaps may run beside work that serves.
+//! Limits the speed of best-effort tasks that run beside serving tasks.
 //!
-//! The load: a lasting task serves its own users, and tasks that use what is left of the same host
-//! slow it by amounts that change within seconds. Without this module its users wait beyond the
-//! target for as long as the neighbours work. Slowing down happens at once and by half, speeding
-//! up in small steps, as a tail that was just over its target returns there otherwise.
+//! A lasting task serves its own users, and best-effort tasks on the same host slow it down by
+//! amounts that change within seconds. Without a limit its users wait beyond the target for as long
+//! as these neighbours run. When the tail latency is too high, the limit is at least halved at
+//! once. It is raised only in small steps, as a tail that was just above its target would exceed it
+//! again otherwise.
 
-/// Above this share of the target, in percent, neighbours are slowed: the figure that is reported
-/// is rough and half a second old.
-const SLOW_ABOVE: u64 = 80;
-/// Below this share of the target, in percent, neighbours are let go faster.
-const FASTER_BELOW: u64 = 55;
-/// The step up, in percent of full speed, at each report (one or two a second).
+/// The share of the target, in percent, above which neighbours are slowed down: the reported tail
+/// is inexact and half a second old.
+const SLOW_DOWN_ABOVE: u64 = 80;
+/// The share of the target, in percent, below which neighbours are sped up.
+const SPEED_UP_BELOW: u64 = 55;
+/// The increase, in percent of full speed, at each report (one or two a second).
 const STEP_UP: u8 = 15;
-/// Below this pace the neighbour is stopped altogether: the rest hardly does any work.
-const LEAST: u8 = 10;
+/// The limit below which a neighbour is stopped altogether, as it would hardly do any work.
+const MIN_LIMIT: u8 = 10;
 
-/// The next pace of the neighbours of serving tasks, in percent.
+/// Returns the next speed limit of the neighbours of serving tasks, in percent of full speed.
 ///
-/// `tail_percent` is the worst tail of a serving task in percent of its target.
-pub fn next_pace(pace: u8, tail_percent: u64) -> u8 {
-    if tail_percent > SLOW_ABOVE {
-        let half = if tail_percent > 100 { pace / 4 } else { pace / 2 };
-        if half < LEAST { 0 } else { half }
-    } else if tail_percent < FASTER_BELOW {
-        pace.saturating_add(STEP_UP).min(100)
+/// `tail_percent` is the worst tail latency of a serving task in percent of its target.
+pub fn next_limit(limit: u8, tail_percent: u64) -> u8 {
+    if tail_percent > SLOW_DOWN_ABOVE {
+        let reduced = if tail_percent > 100 { limit / 4 } else { limit / 2 };
+        if reduced < MIN_LIMIT { 0 } else { reduced }
+    } else if tail_percent < SPEED_UP_BELOW {
+        limit.saturating_add(STEP_UP).min(100)
     } else {
-        pace
+        limit
     }
 }
--- a/crates/borageswitch_scheduler/src/policy/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/policy/stragglers.rs
@@ -1,72 +1,75 @@
-//! Which runs are given up for a new one elsewhere.
+//! Decides which straggling runs are stopped and restarted on another host.
 //!
-//! The load: a host stands still or works at a sixth of its speed for some seconds, while it
-//! answers as always and says that it is well. Its runs come to an end long after their jobs are
-//! late, and the jobs' other steps wait for them. A run that falls far behind what such runs take
-//! is stopped, if a fresh one on another host would be done well before it.
+//! A host may stop or run at a sixth of its speed for some seconds while it responds as usual and
+//! reports that it is healthy. Its runs end long after their jobs are late, and the other steps of
+//! these jobs wait for them. A run that falls far behind the usual duration of such runs is stopped
+//! if a new one on another host would be done well before it.
 //!
-//! A task may stand still wherever it runs, or take far longer than all others of its queue. Given up
-//! each time, it would never be done; so each run of it that is given up doubles the patience with
-//! the next one.
+//! A task may make no progress wherever it runs, or take far longer than all others of its queue.
+//! If each of its runs were stopped, it would never be done, so each stopped run doubles the time
+//! that the next one gets.
 
 use std::time::Duration;
 
-/// A run is not judged before it has had so much time: its first progress is reported late.
-const JUDGED_AFTER: Duration = Duration::from_millis(1_200);
-/// A fresh run has to be better by this factor: what a run takes is known to about a half.
+/// The minimum age of a run that may be stopped: its first progress is reported late.
+const MIN_AGE: Duration = Duration::from_millis(1_200);
+/// The factor by which a new run has to be faster, as the duration of a run is known to within
+/// about a half.
 const BETTER_BY: f64 = 2.0;
-/// What a change costs: the stop, storing the new assignment and the start.
-const CHANGE: Duration = Duration::from_millis(300);
-/// A lasting run that is not at work after so long may be given up; they start within a second.
-const LASTING_START: Duration = Duration::from_millis(3_500);
-/// What a fresh lasting run takes until it is at work, and the change to it.
-const LASTING_FRESH: Duration = Duration::from_millis(1_300);
+/// The cost of a restart: stopping the run, storing the new assignment, and starting.
+const RESTART_COST: Duration = Duration::from_millis(300);
+/// The age from which a lasting run that does not serve yet may be stopped. Most serve within a
+/// second.
+const LASTING_MIN_AGE: Duration = Duration::from_millis(3_500);
+/// The time until a new lasting run serves, including the cost of the restart.
+const LASTING_RESTART: Duration = Duration::from_millis(1_300);
 
-/// The most doublings of the patience with a task's runs: by then it is an hour.
+/// The maximum number of doublings for a task: by then its runs get an hour.
 const MAX_DOUBLINGS: u32 = 12;
 
-/// How much longer a run is let be after so many runs of its task were given up.
-fn patience(given_up: u32) -> u32 {
-    1 << given_up.min(MAX_DOUBLINGS)
+/// Returns the factor by which a run may take longer, after `restarts` stopped runs of its task.
+fn time_factor(restarts: u32) -> u32 {
+    1 << restarts.min(MAX_DOUBLINGS)
 }
 
-/// What is known of a short run that may have fallen behind.
+/// The state of a short run that may have fallen behind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShortRun {
-    /// How long it has been there.
+    /// Its age.
     pub elapsed: Duration,
-    /// How far it has come.
+    /// Its progress.
     pub percent: u8,
-    /// What such a run takes.
+    /// The expected duration of such a run.
     pub expected: Duration,
-    /// The share of its work, from 0 to 1, that a fresh run would not have to do again.
-    pub kept: f64,
-    /// How many runs of its task were given up before it.
-    pub given_up: u32,
+    /// The share of its work, from 0 to 1, that a new run would not have to repeat.
+    pub saved: f64,
+    /// The number of runs of its task that were stopped before it.
+    pub restarts: u32,
 }
 
-/// Whether a short run is to be given up.
-pub fn gives_up(run: &ShortRun) -> bool {
-    let ShortRun { elapsed, percent, expected, kept, given_up } = *run;
-    if elapsed < JUDGED_AFTER.max(expected) * patience(given_up) {
+/// Returns whether a short run should be stopped and restarted.
+pub fn should_restart(run: &ShortRun) -> bool {
+    let ShortRun { elapsed, percent, expected, saved, restarts } = *run;
+    if elapsed < MIN_AGE.max(expected) * time_factor(restarts) {
         return false;
     }
     let done = f64::from(percent.min(100)) / 100.0;
-    let fresh = expected.mul_f64(1.0 - kept) + CHANGE;
+    let new_run = expected.mul_f64(1.0 - saved) + RESTART_COST;
     if done <= 0.0 {
         return true;
     }
     let left = elapsed.mul_f64((1.0 - done) / done);
-    left > fresh.mul_f64(BETTER_BY)
+    left > new_run.mul_f64(BETTER_BY)
 }
 
-/// Whether a lasting run is to be given up that is not at work after `elapsed`, but only at
-/// `percent`, and of whose task so many runs were given up before it.
+/// Returns whether a lasting run should be stopped and restarted that does not serve yet and is at
+/// `percent` of its start after `elapsed`. `restarts` is the number of runs of its task that were
+/// stopped before it.
 ///
-/// One that is slow but gets there soon is let be: by the time it is stopped it would be at work, and
-/// two of a step that are stopped at once leave their users with less than they were promised.
-pub fn gives_up_lasting(elapsed: Duration, percent: u8, given_up: u32) -> bool {
-    if elapsed < LASTING_START * patience(given_up) {
+/// A slow run that will serve soon is left alone. By the time it is stopped it would serve, and
+/// stopping two runs of a step at once leaves their users with less than they were promised.
+pub fn should_restart_lasting(elapsed: Duration, percent: u8, restarts: u32) -> bool {
+    if elapsed < LASTING_MIN_AGE * time_factor(restarts) {
         return false;
     }
     let done = f64::from(percent.min(100)) / 100.0;
@@ -74,5 +77,5 @@
         return true;
     }
     let left = elapsed.mul_f64((1.0 - done) / done);
-    left > LASTING_FRESH.mul_f64(BETTER_BY)
+    left > LASTING_RESTART.mul_f64(BETTER_BY)
 }
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -263,7 +263,7 @@
         let soon = executor
             .runs
             .iter()
-            .filter(|lost| lost.age.is_some_and(|a| a <= crash_attribution::SOON));
+            .filter(|lost| lost.age.is_some_and(|a| a <= crash_attribution::START_RELATED_AGE));
         let jobs: BTreeSet<&JobName> = soon.map(|lost| &lost.task.job).collect();
         for job in jobs {
             *started_on.entry(job.clone()).or_default() += 1;
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -39,7 +39,7 @@
         }
         let pool = known.registration.pool.clone();
         match ended.how {
-            EndKind::Done => known.trust.succeeded(),
+            EndKind::Done => known.trust.record_success(),
             EndKind::Failed => self.note_failure(now, executor, &ended.task),
             EndKind::Alone => self.note_alone(now, &ended.task),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken => {}
@@ -82,8 +82,8 @@
             return;
         }
         if let Some(known) = self.executors.get_mut(executor) {
-            known.trust.failed(now.time);
-            if known.trust.is_doubted() {
+            known.trust.record_failure(now.time);
+            if known.trust.is_tripped() {
                 self.log("executor-distrusted", executor, || format!("after a failure of {task}"));
             }
         }
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -9,7 +9,7 @@
     executor::Registration,
     job::Size,
     life,
-    policy::{circuit_breaker::Trust, quotas::Charge},
+    policy::{circuit_breaker::CircuitBreaker, quotas::Charge},
     reducer::{clock::ClockReading, crashes::LostRun, pace::FULL_PACE},
     task::TaskKey,
 };
@@ -207,7 +207,7 @@
     /// there may be less room than it seems, and an executor that guards nothing would be overfilled.
     pub strays: bool,
     /// Whether it deserves work.
-    pub trust: Trust,
+    pub trust: CircuitBreaker,
     /// It refused something for want of room: nothing new before this time.
     pub full_until: Time,
     /// A task under which executors crash has been started on it: nothing new before this time.
@@ -240,7 +240,7 @@
             taken: Size::default(),
             is_noted: false,
             strays: false,
-            trust: Trust::default(),
+            trust: CircuitBreaker::default(),
             full_until: Time::ZERO,
             isolated_until: Time::ZERO,
             emptying: false,
@@ -312,7 +312,7 @@
 
     /// Whether the passing of time alone may open it again.
     pub fn rests(&self, now: Time) -> bool {
-        now < self.full_until || now < self.isolated_until || self.trust.is_doubted()
+        now < self.full_until || now < self.isolated_until || self.trust.is_tripped()
     }
 
     /// When the last lease that it may have has ended for certain.
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -10,7 +10,7 @@
     event::Now,
     job::{Size, Step},
     ledger::job::{Job, Occurrence, StepState},
-    policy::{crash_attribution::Standing, order::Urgency},
+    policy::{crash_attribution::SuspicionLevel, order::Urgency},
     reducer::{
         Scheduler,
         executors::Executor,
@@ -128,7 +128,7 @@
                 used: used.size,
                 quota: caller.map(|caller| caller.quota).unwrap_or_default(),
                 weight: caller.map_or(0.0, |caller| caller.weight),
-                on_way: used.on_way,
+                on_way: used.in_flight,
             };
             (name.clone(), dump)
         });
@@ -168,10 +168,10 @@
     fn explain_suspects(&self, name: &JobName) -> Vec<String> {
         let suspects = self.ledger.suspects_of(name).take(MOST_RUNS);
         let lines = suspects.map(|(task, crashes)| {
-            let treated = match Standing::of(crashes) {
-                Standing::Clear | Standing::Suspect => "kept away from other suspects",
-                Standing::Isolated => "started apart from all suspects",
-                Standing::Culprit => "not started any more",
+            let treated = match SuspicionLevel::of(crashes) {
+                SuspicionLevel::Clear | SuspicionLevel::Suspect => "kept away from other suspects",
+                SuspicionLevel::Isolated => "started apart from all suspects",
+                SuspicionLevel::Poison => "not started any more",
             };
             let listed: Vec<String> = crashes.iter().map(ToString::to_string).collect();
             format!("{task} is {treated}; executors crashed under it: {}", listed.join("; "))
@@ -258,7 +258,7 @@
             format!(
                 "its caller {} is at its quota: uses {}, may use {}, a task needs {}, {} orders \
                  are unanswered",
-                charge.caller, used.size, quota, charge.size, used.on_way
+                charge.caller, used.size, quota, charge.size, used.in_flight
             )
         })
     }
--- a/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
@@ -29,7 +29,7 @@
         let none = Failed { in_a_row: 0, not_before: now };
         let failed = self.by_task.entry(task.clone()).or_insert(none);
         failed.in_a_row += 1;
-        failed.not_before = now + start_backoff::pause(failed.in_a_row);
+        failed.not_before = now + start_backoff::backoff(failed.in_a_row);
     }
 
     /// Whether a task is not to be started yet.
--- a/crates/borageswitch_scheduler/src/reducer/gangs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gangs.rs
@@ -8,7 +8,7 @@
 use crate::{
     event::Now,
     job::{Size, Step},
-    policy::crash_attribution::Standing,
+    policy::crash_attribution::SuspicionLevel,
     reducer::{Scheduler, places::reserved, rooms::Room, waiting::WaitingStep},
     task::TaskKey,
 };
@@ -46,7 +46,7 @@
     /// The room without other suspects, if a member of a gang has to run apart from them.
     fn apart_from_suspects(&self, waiting: &WaitingStep, room: &Room) -> Option<Room> {
         let mut members = waiting.waiting.iter().map(|&index| waiting.key.task(index));
-        let isolated = members.any(|member| self.standing(&member) == Standing::Isolated);
+        let isolated = members.any(|member| self.standing(&member) == SuspicionLevel::Isolated);
         let without = |(name, _): &(&ExecutorName, &Size)| self.suspects.count_on(name) == 0;
         isolated.then(|| room.iter().filter(without).map(clone_entry).collect())
     }
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -17,7 +17,7 @@
         job::{Job, Occurrence},
         record::{LingeringRun, Outcome, Record},
     },
-    policy::{caller_shares::JobRate, order::JobView},
+    policy::{caller_shares::JobBucket, order::JobView},
     reducer::{Scheduler, executors::Held},
     task::TaskKey,
 };
@@ -104,9 +104,10 @@
         let declared = self.config.as_ref().and_then(|config| config.callers.get(name));
         let Some(weight) = declared.map(|caller| caller.weight) else { return };
         if !self.job_rates.contains_key(name) {
-            self.job_rates.insert(name.clone(), JobRate::new(now.time, weight));
+            self.job_rates.insert(name.clone(), JobBucket::new(now.time, weight));
         }
-        let within = self.job_rates.get_mut(name).is_none_or(|rate| rate.take(now.time, weight));
+        let within =
+            self.job_rates.get_mut(name).is_none_or(|rate| rate.try_take(now.time, weight));
         if within {
             return;
         }
@@ -248,7 +249,7 @@
     pub(super) fn view_of(&self, job: &Job, times: &JobTimes, occurrence: u32) -> JobView {
         let spec = &job.submission.spec;
         let queue = &job.submission.queue.name;
-        let expect = |declared| self.learned.expect(queue, declared);
+        let expect = |declared| self.learned.estimate(queue, declared);
         let whole = longest_chain(spec, None, expect);
         let open = job.progress.open.get(&occurrence);
         let remaining = longest_chain(spec, open, expect);
--- a/crates/borageswitch_scheduler/src/reducer/kept_room.rs
+++ b/crates/borageswitch_scheduler/src/reducer/kept_room.rs
@@ -18,7 +18,7 @@
     job::{Size, Step},
     policy::{
         gangs::{self, Candidate, Plan},
-        lasting::Seeker,
+        lasting::UnplacedTask,
     },
     reducer::{
         Scheduler,
@@ -89,7 +89,7 @@
         let usable = |executor: &ExecutorName| {
             self.executors.get(executor).is_some_and(|known| known.takes_work(now.time))
         };
-        let over = now.time.since(kept.since) >= gangs::KEPT_FOR;
+        let over = now.time.since(kept.since) >= gangs::MAX_RESERVATION;
         if over {
             // Others have their turn before room is kept for it again.
             self.kept_room.missed.insert(kept.step.clone(), now.time);
@@ -125,7 +125,7 @@
     /// has too few.
     pub(super) fn gang_missed(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
         let since = *self.kept_room.missed.entry(key.clone()).or_insert(now.time);
-        if now.time.since(since) < gangs::PATIENCE || self.kept_room.kept.contains_key(pool) {
+        if now.time.since(since) < gangs::RESERVE_AFTER || self.kept_room.kept.contains_key(pool) {
             return;
         }
         if !self.kept_room.may_try(now.time, pool) {
@@ -134,9 +134,9 @@
         let job = self.ledger.jobs.get(&key.job);
         let Some(step) = job.and_then(|job| job.step(key.step)).cloned() else { return };
         let candidates = self.candidates_for_gang(now, pool, key, &step);
-        let found = (candidates.len(), candidates.iter().map(|c| c.places).sum());
+        let found = (candidates.len(), candidates.iter().map(|c| c.max_members).sum());
         match gangs::plan(step.count as usize, candidates) {
-            Plan::Keep(executors) => self.keep(now, pool, key, executors),
+            Plan::Reserve(executors) => self.keep(now, pool, key, executors),
             Plan::Wait => self.tell_lack(now, pool, key, &step, found),
             Plan::Fetch => {
                 self.tell_lack(now, pool, key, &step, found);
@@ -179,7 +179,7 @@
 
     fn fetch_for_gang(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
         let over = self.kept_room.fetched.as_ref().is_none_or(|fetched| {
-            now.time.since(fetched.since) >= gangs::FETCHING
+            now.time.since(fetched.since) >= gangs::MAX_FETCH
                 || !self.ledger.jobs.contains_key(&fetched.step.job)
         });
         if over {
@@ -203,15 +203,15 @@
         let suitable = of_pool.filter(|(name, _)| self.may_run_on(now, key, step, name, 0));
         let candidates = suitable.map(|(name, known)| Candidate {
             id: name.clone(),
-            places: gangs::places(&free_soon(known), &size, step.max_per_host),
-            ready: self.ready_for(now, known, &size, step),
+            max_members: gangs::member_capacity(&free_soon(known), &size, step.max_per_host),
+            ready_in: self.ready_for(now, known, &size, step),
         });
         candidates.collect()
     }
 
     /// How long it takes until an executor has its places for members free.
     fn ready_for(&self, now: Now, known: &Executor, size: &Size, step: &Step) -> Duration {
-        let places = |room: &Size| gangs::places(room, size, step.max_per_host);
+        let places = |room: &Size| gangs::member_capacity(room, size, step.max_per_host);
         if places(&known.free()) == places(&free_soon(known)) {
             return Duration::ZERO;
         }
@@ -229,19 +229,19 @@
         let job = self.ledger.jobs.get(&task.job);
         let expected = job.and_then(|job| {
             let step = job.step(task.step)?;
-            Some(self.learned.expect(&job.submission.queue.name, step.estimate))
+            Some(self.learned.estimate(&job.submission.queue.name, step.estimate))
         });
         expected.unwrap_or_default().saturating_sub(elapsed)
     }
 
     /// The members of the gang for which a pool is to get hosts.
-    pub(super) fn gang_seekers(&self, pool: &PoolName) -> Vec<Seeker<StepKey>> {
+    pub(super) fn gang_seekers(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
         let Some(fetched) = self.kept_room.fetched.as_ref().filter(|f| f.pool == *pool) else {
             return Vec::new();
         };
         let job = self.ledger.jobs.get(&fetched.step.job);
         let Some(step) = job.and_then(|job| job.step(fetched.step.step)) else { return Vec::new() };
-        let member = Seeker {
+        let member = UnplacedTask {
             step: fetched.step.clone(),
             size: reserved(step),
             label: step.label.clone(),
--- a/crates/borageswitch_scheduler/src/reducer/lasting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lasting.rs
@@ -7,7 +7,7 @@
 use crate::{
     fleet::HostEntry,
     job::Size,
-    policy::lasting::{self, Room, Seeker},
+    policy::lasting::{self, HostCapacity, UnplacedTask},
     reducer::{Scheduler, hosts::Purpose, places::reserved, waiting::waiting_tasks_of},
     task::{StepKey, TaskKey},
 };
@@ -36,7 +36,7 @@
 
     fn hosts_for(
         &self,
-        seekers: &[Seeker<StepKey>],
+        seekers: &[UnplacedTask<StepKey>],
         pool: &PoolName,
         members: &[&HostEntry],
         host: &Size,
@@ -45,10 +45,10 @@
             return Vec::new();
         }
         let rooms = members.iter().filter_map(|entry| self.lasting_room(pool, entry));
-        lasting::more_hosts(seekers, rooms.collect(), host)
+        lasting::additional_hosts(seekers, rooms.collect(), host)
     }
 
-    fn lasting_seekers(&self, pool: &PoolName) -> Vec<Seeker<StepKey>> {
+    fn lasting_seekers(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
         let mut tasks = self.stuck_tasks(pool);
         for (name, job) in &self.ledger.jobs {
             // Few jobs last, and to tell so is cheaper than to find a job's pool.
@@ -58,7 +58,7 @@
         }
         let seeker = |task: TaskKey| {
             let step = self.ledger.jobs.get(&task.job)?.step(task.step)?;
-            step.lasting.then(|| Seeker {
+            step.lasting.then(|| UnplacedTask {
                 step: task.step_key(),
                 size: reserved(step),
                 label: step.label.clone(),
@@ -69,20 +69,21 @@
     }
 
     /// What a member of a pool has left beside its lasting tasks; a host on its way is empty.
-    fn lasting_room(&self, pool: &PoolName, entry: &HostEntry) -> Option<Room<StepKey>> {
+    fn lasting_room(&self, pool: &PoolName, entry: &HostEntry) -> Option<HostCapacity<StepKey>> {
         let labels = entry.labels.clone();
         // The platform lists a host in its new pool as soon as it moves, without an executor. Taken
         // for one without room, it would be sent for again with each list until it has come.
         let withdrawal = self.fleet.withdrawals.get(&entry.host);
         let comes = withdrawal.is_some_and(|w| w.purpose == Purpose::Move(pool.clone()));
         if comes || entry.pool != *pool {
-            return Some(Room { labels, free: entry.capacity, tasks: BTreeMap::new() });
+            return Some(HostCapacity { labels, free: entry.capacity, tasks: BTreeMap::new() });
         }
         let known = self.executor_on(entry).filter(|known| known.present)?;
         if known.registration.draining {
             return None;
         }
-        let mut room = Room { labels, free: known.registration.capacity, tasks: BTreeMap::new() };
+        let mut room =
+            HostCapacity { labels, free: known.registration.capacity, tasks: BTreeMap::new() };
         for (task, held) in known.runs.iter().filter(|(_, held)| held.lasting) {
             room.free = room.free.less(&held.size);
             *room.tasks.entry(task.step_key()).or_default() += 1;
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -18,7 +18,7 @@
     policy::{
         arrivals::{self, ArrivalRate},
         call_budget::CallBudget,
-        lending::{self, IdleHost, LabelNeed, Need, PoolLoad},
+        lending::{self, Demand, LabelDemand, MovableHost, PoolLoad},
         peaks::{self, Peak},
     },
     reducer::{
@@ -43,8 +43,8 @@
 /// What the tasks of a pool ask for.
 #[derive(Debug, Default)]
 struct PoolNeeds {
-    whole: Need,
-    labelled: BTreeMap<Arc<str>, Need>,
+    whole: Demand,
+    labelled: BTreeMap<Arc<str>, Demand>,
     data_racks: BTreeSet<Arc<str>>,
     fills: bool,
     serves: bool,
@@ -60,13 +60,13 @@
             // other.
             Some(label) => {
                 let need = self.labelled.entry(label.clone()).or_default();
-                need.apart = need.apart.max(1);
+                need.separate_hosts = need.separate_hosts.max(1);
                 need
             }
             None => &mut self.whole,
         };
-        need.demand += waits;
-        need.apart = need.apart.max(apart);
+        need.resources += waits;
+        need.separate_hosts = need.separate_hosts.max(apart);
         if let Some(rack) = step.data_rack.as_ref().filter(|_| waiting > 0) {
             self.data_racks.insert(Arc::from(rack.as_str()));
         }
@@ -99,18 +99,18 @@
         let (mut work, mut takes) = (0.0, Duration::ZERO);
         for step in &submission.spec.steps {
             let cores = step.size.cpu_milli as f64 / 1_000.0;
-            let each = self.learned.expect(queue, step.estimate);
+            let each = self.learned.estimate(queue, step.estimate);
             work += f64::from(step.count) * cores * each.as_secs_f64();
             takes += each;
         }
-        let spread = takes.min(peaks::horizon(self.all_moved(), self.limits.host_move));
-        self.lending.arrivals.entry(pool.clone()).or_default().arrived(now.time, work, spread);
+        let spread = takes.min(peaks::retention(self.all_moved(), self.limits.host_move));
+        self.lending.arrivals.entry(pool.clone()).or_default().record_work(now.time, work, spread);
         self.lending.first_work.get_or_insert(now.time);
     }
 
     /// Whether an order for a host may leave now; if so, its call is taken out of the budget.
     pub(super) fn may_call_hosts(&mut self, now: Time) -> bool {
-        self.call_budget(now).take(now)
+        self.call_budget(now).try_take(now)
     }
 
     fn call_budget(&mut self, now: Time) -> &mut CallBudget {
@@ -127,10 +127,10 @@
     /// Notes what pools need, and says how many of their hosts stay on.
     fn keep_on(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
         let all_moved = self.all_moved();
-        let horizon = peaks::horizon(all_moved, self.limits.host_move);
+        let horizon = peaks::retention(all_moved, self.limits.host_move);
         for load in loads.iter().filter(|load| !load.standby) {
             let peak = self.lending.peaks.entry(load.pool.clone()).or_default();
-            peak.note(now.time, load.need.hosts(&load.host), horizon);
+            peak.record(now.time, load.demand.hosts(&load.host_size), horizon);
         }
         let largest = self.lending.largest_peak();
         let begun = self.lending.first_work;
@@ -140,8 +140,8 @@
             let peak = self.lending.peaks.get(&load.pool).map_or(0, Peak::hosts);
             let rate = self.lending.arrivals.get(&load.pool);
             let is_learning = arrivals::is_learning(led, rate, now.time);
-            load.kept_on = if is_learning {
-                peaks::kept_while_learning(all_moved, begun.is_some().then_some(largest))
+            load.min_powered_on = if is_learning {
+                peaks::hosts_kept_while_learning(all_moved, begun.is_some().then_some(largest))
             } else if unseen {
                 largest
             } else {
@@ -157,9 +157,9 @@
         }
         let mut loads = self.pool_loads(now);
         self.keep_on(now, &mut loads);
-        let spare_calls = self.call_budget(now.time).spare(now.time);
+        let spare_calls = self.call_budget(now.time).optional_calls(now.time);
         // Busy hosts are lent only for a label that is short.
-        if loads.iter().any(PoolLoad::lacks_label) {
+        if loads.iter().any(PoolLoad::lacks_labelled_host) {
             for load in &mut loads {
                 load.busy = self.busy_hosts(now.time, &load.pool);
             }
@@ -190,14 +190,14 @@
                 let host = self.typical_host(&in_pool);
                 let labelled = needs.labelled.into_iter().map(|(label, mut need)| {
                     let mut hosts = 0;
-                    let waiting = need.demand.cpu_milli;
+                    let waiting = need.resources.cpu_milli;
                     for entry in members.iter().filter(|entry| entry.labels.contains(&label)) {
                         hosts += 1;
                         // Full hosts are of no help to what waits for the label.
-                        need.demand +=
+                        need.resources +=
                             self.executor_on(entry).map_or(Size::default(), Executor::taken);
                     }
-                    LabelNeed { label, need, waiting, hosts }
+                    LabelDemand { label, demand: need, waiting, hosts }
                 });
                 PoolLoad {
                     pool: pool.name.clone(),
@@ -205,16 +205,16 @@
                     hosts: members.len(),
                     idle: self.idle_hosts(now.time, pool.standby, &in_pool),
                     busy: Vec::new(),
-                    need: needs.whole,
-                    labelled: labelled.collect(),
-                    lasting: self.hosts_for_lasting(&pool.name, &members, &host),
-                    gang: self.hosts_for_gang(&pool.name, &members, &host),
-                    label_hosts: count_labels(&members),
+                    demand: needs.whole,
+                    label_demands: labelled.collect(),
+                    missing_for_lasting: self.hosts_for_lasting(&pool.name, &members, &host),
+                    missing_for_gang: self.hosts_for_gang(&pool.name, &members, &host),
+                    hosts_by_label: count_labels(&members),
                     data_racks: needs.data_racks,
-                    arriving_cores: rate.map_or(0.0, |rate| rate.cores(now.time)),
-                    host,
+                    arriving_cores: rate.map_or(0.0, |rate| rate.expected_cores(now.time)),
+                    host_size: host,
                     has_short_work: rate.is_some(),
-                    kept_on: 0,
+                    min_powered_on: 0,
                 }
             })
             .collect()
@@ -224,7 +224,8 @@
     fn needs(&self) -> BTreeMap<PoolName, PoolNeeds> {
         let mut needs: BTreeMap<PoolName, PoolNeeds> = BTreeMap::new();
         for known in self.executors.values() {
-            needs.entry(known.registration.pool.clone()).or_default().whole.demand += known.taken();
+            needs.entry(known.registration.pool.clone()).or_default().whole.resources +=
+                known.taken();
         }
         // Hosts that are fetched for tasks whose callers are at their quota would stand idle.
         let mut dealing = self.dealing();
@@ -237,7 +238,7 @@
         }
         for pool in needs.values_mut() {
             // One host more keeps tasks that fill gaps away from tasks that serve.
-            pool.whole.apart += usize::from(pool.fills && pool.serves);
+            pool.whole.separate_hosts += usize::from(pool.fills && pool.serves);
         }
         needs
     }
@@ -264,7 +265,7 @@
         now: Time,
         standby: bool,
         in_pool: &[&HostEntry],
-    ) -> Vec<IdleHost<HostName>> {
+    ) -> Vec<MovableHost<HostName>> {
         let free = in_pool.iter().filter(|entry| {
             entry.state == HostState::Up
                 && !self.fleet.withdrawals.contains_key(&entry.host)
@@ -289,7 +290,7 @@
     }
 
     /// Hosts that run nothing but tasks that end.
-    fn busy_hosts(&self, now: Time, pool: &PoolName) -> Vec<IdleHost<HostName>> {
+    fn busy_hosts(&self, now: Time, pool: &PoolName) -> Vec<MovableHost<HostName>> {
         let in_pool = self.fleet.hosts.values().filter(|entry| entry.pool == *pool);
         let busy = in_pool.filter(|entry| {
             let known = self.executor_on(entry).filter(|known| known.present && known.fenced);
@@ -303,8 +304,8 @@
         busy.map(|entry| self.lendable(entry, Duration::ZERO)).collect()
     }
 
-    fn lendable(&self, entry: &HostEntry, idle: Duration) -> IdleHost<HostName> {
-        IdleHost {
+    fn lendable(&self, entry: &HostEntry, idle: Duration) -> MovableHost<HostName> {
+        MovableHost {
             host: entry.host.clone(),
             idle,
             labels: entry.labels.clone(),
--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/looks.rs
@@ -177,7 +177,7 @@
                     let was_at_work = held.is_at_work();
                     take_active(held, active, now.time);
                     if held.lasting && held.is_at_work() && !was_at_work {
-                        known.trust.succeeded();
+                        known.trust.record_success();
                     }
                 }
                 None => strays.push(active),
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -79,7 +79,7 @@
     effect::{Effect, LogLine},
     event::{Event, Now},
     ledger::{Ledger, record::Record},
-    policy::{caller_shares::JobRate, runtime_estimates::Learned},
+    policy::{caller_shares::JobBucket, runtime_estimates::RuntimeEstimates},
     reducer::{
         advice::Advice, crashes::EndedExecutor, executor_table::ExecutorTable,
         failed_starts::FailedStarts, host_list::Fleet, jobs::JobTimes, kept_room::KeptRoom,
@@ -137,7 +137,7 @@
     /// When a lasting step last found no room.
     lasting_missed: BTreeMap<StepKey, Time>,
     /// What callers have handed in, against their shares.
-    job_rates: BTreeMap<CallerName, JobRate>,
+    job_rates: BTreeMap<CallerName, JobBucket>,
     /// When it was last told that a caller's tasks wait for its quota.
     told_at_quota: BTreeMap<CallerName, Time>,
     /// Executors that may be due for a look since something has happened to them.
@@ -146,7 +146,7 @@
     /// one took over.
     inherited_orders: BTreeMap<HostName, Duration>,
     times: BTreeMap<JobName, JobTimes>,
-    learned: Learned,
+    learned: RuntimeEstimates,
     outbox: Outbox,
     advice: Advice,
     kept_room: KeptRoom,
--- a/crates/borageswitch_scheduler/src/reducer/pace.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pace.rs
@@ -78,7 +78,7 @@
         Served::Nobody => Some(FULL_PACE),
         Served::NotYet => None,
         Served::Tail(percent) => {
-            Some(speed_limits::next_pace(held.pace.unwrap_or(FULL_PACE), percent))
+            Some(speed_limits::next_limit(held.pace.unwrap_or(FULL_PACE), percent))
         }
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -11,7 +11,7 @@
     event::Now,
     job::Size,
     ledger::record::Record,
-    policy::{crash_attribution::Standing, last_chance::Allowance, order::Urgency},
+    policy::{crash_attribution::SuspicionLevel, last_chance::Allowance, order::Urgency},
     reducer::{
         Scheduler,
         executors::Phase,
@@ -142,12 +142,12 @@
             let runs = known.runs.values().filter(|held| held.late);
             late += runs.map(|held| held.size.cpu_milli).sum::<u64>();
         }
-        let mut allowance = Allowance::of(whole, late);
+        let mut allowance = Allowance::new(whole, late);
         let granted = due
             .into_iter()
-            .filter(|step| allowance.take(step.size.cpu_milli * step.waiting.len() as u64));
-        let ahead =
-            granted.map(|step| WaitingStep { urgency: step.urgency.let_ahead(), ..step.clone() });
+            .filter(|step| allowance.try_take(step.size.cpu_milli * step.waiting.len() as u64));
+        let ahead = granted
+            .map(|step| WaitingStep { urgency: step.urgency.as_last_chance(), ..step.clone() });
         ahead.collect()
     }
 
@@ -178,11 +178,12 @@
         for &index in waiting.waiting.iter().take(most) {
             let task = waiting.key.task(index);
             let standing = self.standing(&task);
-            if standing == Standing::Culprit || self.failed_starts.holds_back(now.time, &task) {
+            if standing == SuspicionLevel::Poison || self.failed_starts.holds_back(now.time, &task)
+            {
                 continue;
             }
             let Some(executor) = places.take(&size, standing) else {
-                if standing == Standing::Isolated {
+                if standing == SuspicionLevel::Isolated {
                     // It waits for a host without suspects; there may be room for the others.
                     without_host = Some(task);
                     continue;
@@ -199,7 +200,7 @@
                 let none = !room.values().any(|free| free.holds(&size));
                 return if none { Placed::NoRoom } else { Placed::Done };
             };
-            if standing == Standing::Isolated {
+            if standing == SuspicionLevel::Isolated {
                 room.remove(&executor);
             } else if let Some(left) = room.get_mut(&executor) {
                 *left = left.less(&size);
@@ -234,7 +235,7 @@
         let Some(held) = self.held_for(now.time, task, run, Phase::Recorded) else { return };
         self.executors.hold(executor, task, held);
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.trust.placed(now.time);
+        known.trust.record_placement(now.time);
         self.starting.decided(task, run);
         self.watch_suspect(now, executor, task);
         self.record(Record::Assigned { task: task.clone(), run, executor: executor.clone() });
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -8,7 +8,7 @@
     event::Now,
     job::{Size, Step},
     policy::{
-        crash_attribution::Standing,
+        crash_attribution::SuspicionLevel,
         placement::{self, Candidate},
     },
     reducer::{Scheduler, executors::Executor, rooms::Room},
@@ -39,23 +39,23 @@
 
 impl Places {
     /// Gives the best place to a task.
-    pub(super) fn take(&mut self, size: &Size, standing: Standing) -> Option<ExecutorName> {
+    pub(super) fn take(&mut self, size: &Size, standing: SuspicionLevel) -> Option<ExecutorName> {
         let open = self.places.iter().filter(|place| place.more != Some(0));
         let open = open.map(|place| place.candidate);
         let best = match standing {
-            Standing::Clear | Standing::Suspect => placement::choose(size, open)?,
-            Standing::Isolated => placement::choose_apart(size, open)?,
-            Standing::Culprit => return None,
+            SuspicionLevel::Clear | SuspicionLevel::Suspect => placement::choose(size, open)?,
+            SuspicionLevel::Isolated => placement::choose_isolated(size, open)?,
+            SuspicionLevel::Poison => return None,
         };
         let place = &mut self.places[best];
-        place.candidate.suspects += usize::from(standing != Standing::Clear);
+        place.candidate.suspects += usize::from(standing != SuspicionLevel::Clear);
         place.candidate.tasks += 1;
         place.candidate.free = place.candidate.free.less(size);
         place.candidate.in_use = true;
         place.candidate.siblings += usize::from(self.fills);
         place.more = match standing {
             // Nothing is started beside it for a while.
-            Standing::Isolated => Some(0),
+            SuspicionLevel::Isolated => Some(0),
             _ => place.more.map(|more| more - 1),
         };
         let (executor, rack) = (place.executor.clone(), place.rack.clone());
@@ -92,7 +92,8 @@
         let counts_siblings = step.fills || step.max_per_host.is_some();
         let by_rack = self.siblings_by_rack(key, step);
         let tasks = self.ledger.suspects.range(key.task(0)..=key.task(u32::MAX));
-        let isolated = tasks.into_iter().any(|(_, c)| Standing::of(c) == Standing::Isolated);
+        let isolated =
+            tasks.into_iter().any(|(_, c)| SuspicionLevel::of(c) == SuspicionLevel::Isolated);
         let mut places = Vec::new();
         // Most hosts of a pool in its rush are full, and are told by their room alone.
         for (executor, free) in room.iter().filter(|(_, free)| free.holds(&size)) {
@@ -105,11 +106,12 @@
                 id: places.len(),
                 free: *free,
                 suspects: self.suspects.count_on(executor),
-                unsteady: isolated && self.is_unsteady(now, executor),
+                crash_prone: isolated && self.is_unsteady(now, executor),
                 tasks: known.runs.len(),
-                disturbs: disturbs(step, known),
-                wasted: step.label.is_none() && self.fleet.is_scarce(&known.registration.labels),
-                near: is_near(step, known) && avoid != Some(executor),
+                interferes: disturbs(step, known),
+                wastes_scarce: step.label.is_none()
+                    && self.fleet.is_scarce(&known.registration.labels),
+                preferred: is_near(step, known) && avoid != Some(executor),
                 in_use: !known.runs.is_empty(),
                 siblings: if step.fills { there } else { 0 },
                 rack_siblings: known
--- a/crates/borageswitch_scheduler/src/reducer/quotas.rs
+++ b/crates/borageswitch_scheduler/src/reducer/quotas.rs
@@ -47,7 +47,7 @@
         let dealt = self.dealt.entry((caller, pool, step.label.as_deref())).or_default();
         let used = self.scheduler.executors.usage().of(caller).size + *dealt;
         let left = quotas::startable(&quota, &used, &step.size);
-        let taken = left.map_or(tasks, |left| tasks.min(left.with_last));
+        let taken = left.map_or(tasks, |left| tasks.min(left.with_overshoot));
         *dealt += step.size.times(taken);
         taken
     }
@@ -77,10 +77,10 @@
         let Some(quota) = self.quota_of(&charge.caller) else { return all };
         let used = self.executors.usage().of(&charge.caller);
         let Some(left) = quotas::startable(&quota, &used.size, &charge.size) else { return all };
-        let others_on_way = used.on_way > 0;
+        let others_on_way = used.in_flight > 0;
         match gang {
-            false => left.of_single(all, others_on_way),
-            true if left.lets_gang(all, others_on_way) => all,
+            false => left.independent(all, others_on_way),
+            true if left.allows_gang(all, others_on_way) => all,
             true => 0,
         }
     }
@@ -112,7 +112,7 @@
         self.log("caller-at-quota", &caller, || {
             format!(
                 "used=[{}] quota=[{quota}] unanswered={} version={version} first={}",
-                used.size, used.on_way, step.key
+                used.size, used.in_flight, step.key
             )
         });
     }
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -18,7 +18,7 @@
     executor::Registration,
     job::Size,
     ledger::{Ledger, host_orders::HostOrders, job::Job, record::Record},
-    policy::runtime_estimates::Learned,
+    policy::runtime_estimates::RuntimeEstimates,
     reducer::{
         Limits, Scheduler,
         advice::Advice,
@@ -64,7 +64,7 @@
             told_at_quota: Default::default(),
             unlooked: Default::default(),
             times: Default::default(),
-            learned: Learned::default(),
+            learned: RuntimeEstimates::default(),
             outbox: Outbox::new(next_append),
             advice: Advice::default(),
             kept_room: KeptRoom::default(),
--- a/crates/borageswitch_scheduler/src/reducer/starting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starting.rs
@@ -22,7 +22,7 @@
 impl Starting {
     /// How many more may be decided.
     pub(super) fn left(&self) -> usize {
-        self.window.left(self.runs.len())
+        self.window.available(self.runs.len())
     }
 
     /// Tasks of a pool wait until a start is answered.
@@ -49,7 +49,7 @@
         answer: StartAnswer,
     ) {
         if !matches!(answer, StartAnswer::Lost | StartAnswer::NotSent) {
-            self.window.answered(now, took, self.runs.len());
+            self.window.record_response(now, took, self.runs.len());
         }
         self.over(task, run);
     }
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -130,7 +130,7 @@
             }
             StartAnswer::Unhealthy => {
                 if let Some(known) = self.executors.get_mut(executor) {
-                    known.trust.failed(now.time);
+                    known.trust.record_failure(now.time);
                 }
                 self.close(now, executor, task, FULL_PAUSE, "unhealthy");
             }
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -61,18 +61,24 @@
         if held.lasting {
             let given_up = self.stragglers.given_up(task);
             return held.percent < 100
-                && stragglers::gives_up_lasting(elapsed, held.percent, given_up);
+                && stragglers::should_restart_lasting(elapsed, held.percent, given_up);
         }
-        let expected = self.learned.expect(&job.submission.queue.name, step.estimate);
+        let expected = self.learned.estimate(&job.submission.queue.name, step.estimate);
         let kept = if step.checkpointing { f64::from(held.percent) / 200.0 } else { 0.0 };
         let given_up = self.stragglers.given_up(task);
         let percent = held.percent;
-        stragglers::gives_up(&ShortRun { elapsed, percent, expected, kept, given_up })
+        stragglers::should_restart(&ShortRun {
+            elapsed,
+            percent,
+            expected,
+            saved: kept,
+            restarts: given_up,
+        })
     }
 
     fn give_up(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.trust.failed(now.time);
+        known.trust.record_failure(now.time);
         let Some(held) = known.runs.get(task) else { return };
         let (run, percent) = (held.run, held.percent);
         let elapsed = now.time.since(held.started).as_millis();
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -18,8 +18,8 @@
         record::Record,
     },
     policy::{
-        crash_attribution::{self, Present, Standing},
-        crash_rate::{History, Site},
+        crash_attribution::{self, PossibleCause, SuspicionLevel},
+        crash_rate::{CrashHistory, RateContext},
     },
     reducer::{
         Scheduler,
@@ -29,14 +29,14 @@
 };
 
 /// How long a run of unknown age is taken to have been there: an earlier leader started it.
-const UNKNOWN_AGE: Duration = crash_attribution::SOON;
+const UNKNOWN_AGE: Duration = crash_attribution::START_RELATED_AGE;
 /// How long nothing is started on an executor after a start of an isolated task.
-const ISOLATION: Duration = crash_attribution::SOON;
+const ISOLATION: Duration = crash_attribution::START_RELATED_AGE;
 
 /// The suspects that run, and what is remembered of crashes.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    history: History,
+    history: CrashHistory,
     /// Runs of suspects that have not lived for long enough yet.
     on_probation: BTreeMap<ExecutorName, BTreeSet<TaskKey>>,
 }
@@ -62,8 +62,8 @@
 
 impl Scheduler {
     /// How a task is to be treated.
-    pub(super) fn standing(&self, task: &TaskKey) -> Standing {
-        Standing::of(self.ledger.crashes_of(task))
+    pub(super) fn standing(&self, task: &TaskKey) -> SuspicionLevel {
+        SuspicionLevel::of(self.ledger.crashes_of(task))
     }
 
     /// Whether an executor's host has crashed again and again.
@@ -73,17 +73,17 @@
             return false;
         }
         let host = self.fleet.host_of(executor);
-        host.is_some_and(|host| history.is_unsteady(now.time, host))
+        host.is_some_and(|host| history.is_crash_prone(now.time, host))
     }
 
     /// A task was placed: a suspect is watched, and an isolated one is left alone for a while.
     pub(super) fn watch_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let standing = self.standing(task);
-        if standing == Standing::Clear {
+        if standing == SuspicionLevel::Clear {
             return;
         }
         self.suspects.watch(executor, task);
-        if standing >= Standing::Isolated
+        if standing >= SuspicionLevel::Isolated
             && let Some(known) = self.executors.get_mut(executor)
         {
             known.isolated_until = now.time + ISOLATION;
@@ -103,9 +103,9 @@
         let runs: Vec<&LostRun> = ended.runs.iter().filter(open).collect();
         let jobs: BTreeSet<JobName> = runs.iter().map(|lost| lost.task.job.clone()).collect();
         self.count_crash(&jobs);
-        let present: Vec<Present> = jobs.iter().map(|job| self.present(job, &runs)).collect();
+        let present: Vec<PossibleCause> = jobs.iter().map(|job| self.present(job, &runs)).collect();
         let shares: BTreeMap<&JobName, f64> =
-            jobs.iter().zip(crash_attribution::shares(&present)).collect();
+            jobs.iter().zip(crash_attribution::cause_probabilities(&present)).collect();
         let suspicions = runs.iter().filter_map(|lost| {
             let job = &lost.task.job;
             let started_on = started_on.get(job).copied().unwrap_or(0);
@@ -113,10 +113,10 @@
                 let evidence = self.evidence(now, ended, lost, shares[job]);
                 return Some(suspicion(now, ended, lost, evidence));
             }
-            crash_attribution::is_soon(lost.lived).then(|| suspicion(now, ended, lost, 0))
+            crash_attribution::is_start_related(lost.lived).then(|| suspicion(now, ended, lost, 0))
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
-        self.suspects.history.note(now.time, ended.host().cloned(), jobs);
+        self.suspects.history.add_crash(now.time, ended.host().cloned(), jobs);
         self.suspect(suspicions);
     }
 
@@ -124,7 +124,7 @@
     /// were started there. It says nothing against them, but counts for the bound on restarts: a
     /// crash may be hidden by a drain, or have been seen by a leader that could not store it.
     pub(super) fn take_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let soon = ended.runs.iter().filter(|lost| crash_attribution::is_soon(lost.lived));
+        let soon = ended.runs.iter().filter(|lost| crash_attribution::is_start_related(lost.lived));
         let suspicions = soon.map(|lost| suspicion(now, ended, lost, 0));
         self.suspect(suspicions.collect());
     }
@@ -141,16 +141,19 @@
     }
 
     fn evidence(&self, now: Now, ended: &EndedExecutor, lost: &LostRun, share: f64) -> u32 {
-        let site =
-            Site { job: &lost.task.job, host: ended.host(), executors: self.executors.len() };
+        let site = RateContext {
+            job: &lost.task.job,
+            host: ended.host(),
+            executors: self.executors.len(),
+        };
         let rate = self.suspects.history.rate(now.time, self.began, &site);
         crash_attribution::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
     /// A job as one of those that ran on an executor: its task that is the likeliest cause.
-    fn present(&self, job: &JobName, runs: &[&LostRun]) -> Present {
+    fn present(&self, job: &JobName, runs: &[&LostRun]) -> PossibleCause {
         let of_job = runs.iter().filter(|lost| lost.task.job == *job);
-        let mut present = Present { evidence: 0, window: Duration::MAX };
+        let mut present = PossibleCause { evidence: 0, window: Duration::MAX };
         for lost in of_job {
             let crashes = self.ledger.crashes_of(&lost.task);
             let evidence = crashes.iter().map(|crash| crash.evidence).sum();
@@ -162,7 +165,7 @@
 
     /// Gives a task up if the evidence suffices; else watches the run that it may have by now.
     fn judge(&mut self, task: &TaskKey) {
-        if self.standing(task) == Standing::Culprit || self.is_culprit_job(&task.job) {
+        if self.standing(task) == SuspicionLevel::Poison || self.is_culprit_job(&task.job) {
             self.give_up_culprit(task);
             return;
         }
@@ -178,7 +181,7 @@
         let steps = &job.submission.spec.steps;
         let tasks: usize = steps.iter().map(|step| step.count as usize).sum();
         let crashes = self.ledger.suspects_of(name).flat_map(|(_, crashes)| crashes);
-        crash_attribution::is_certain_of_job(crashes, tasks * job.progress.open.len().max(1))
+        crash_attribution::is_poison_job(crashes, tasks * job.progress.open.len().max(1))
     }
 
     fn give_up_culprit(&mut self, task: &TaskKey) {
@@ -195,7 +198,7 @@
             self.effects.push(Effect::Count(Tally::GivenUp(queue)));
         }
         self.touched.insert(task.job.clone());
-        self.suspects.history.explain(&task.job);
+        self.suspects.history.discard_caused_by(&task.job);
     }
 
     /// Takes in how long suspects have lived on executors that still answer.
@@ -208,7 +211,9 @@
                 let crashes = self.ledger.crashes_of(task);
                 match held {
                     Some(lived)
-                        if crashes.iter().any(|crash| crash_attribution::refutes(lived, crash)) =>
+                        if crashes
+                            .iter()
+                            .any(|crash| crash_attribution::exonerates(lived, crash)) =>
                     {
                         outlived.push((executor.clone(), task.clone(), lived.as_millis() as u64));
                     }
