--- a/crates/borageswitch_scheduler/src/policy/mod.rs
+++ b/crates/borageswitch_scheduler/src/policy/mod.rs
@@ -1,48 +1,48 @@
-//! Whom to serve first, where to place, whom to distrust.
+//! Scheduling policies: pure decisions about order, placement, capacity and failures.
 //!
-//! Nothing here knows the network, the store or the clock: each module is a decision, tells the
-//! load that it answers and what would happen without it, and is tested by replaying that load.
+//! These modules do no I/O and read no clock. Each one makes a single decision; its docs describe
+//! the load that it is made for and what would go wrong without it, and its tests replay that load.
 //!
-//! - [`order`]: which job's tasks go first when there is not room for all.
-//! - [`last_chance`]: which late jobs go first nevertheless.
-//! - [`placing`]: which host a task goes to.
-//! - [`learned`]: what tasks really take, since declared run times are far off.
-//! - [`lending`]: which hosts change their pool, by the work that [`arrivals`] tells of.
-//! - [`peaks`]: how many hosts a pool keeps on between two rushes.
-//! - [`call_budget`]: how many orders for hosts are given a second.
-//! - [`gangs`]: which hosts are kept free for tasks that work only together.
-//! - [`label_shares`]: how pools share the hosts with a label of which there are too few.
-//! - [`lasting`]: which more hosts lasting tasks need.
+//! - [`order`]: which job's tasks go first when capacity is short.
+//! - [`last_chance`]: which late jobs go first all the same.
+//! - [`placement`]: which host a task goes to.
+//! - [`runtime_estimates`]: how long tasks take, as declared run times are far off.
+//! - [`lending`]: which hosts move to another pool, by the work that [`arrivals`] measures.
+//! - [`peaks`]: how many hosts a pool keeps powered on between two load peaks.
+//! - [`call_budget`]: how many orders for hosts are sent to the platform per second.
+//! - [`gangs`]: which hosts are reserved for tasks that work only together.
+//! - [`label_shares`]: how pools share a label's hosts when there are too few of them.
+//! - [`lasting`]: which additional hosts lasting tasks need.
 //! - [`quotas`]: how many of a caller's tasks may start.
-//! - [`shares`]: which jobs are within what their caller was promised.
-//! - [`blame`]: which task brings executors down, and which merely ran beside it.
-//! - [`crash_rate`]: how often executors crash under tasks that have nothing to do with it.
-//! - [`trust`]: which executors get work although some of theirs failed.
-//! - [`start_window`]: how many starts are on their way at once.
-//! - [`start_pauses`]: how long a task waits after starts that came to nothing.
-//! - [`stragglers`]: which runs are given up for a new one elsewhere.
-//! - [`pacing`]: how fast work that fills gaps may run beside work that serves.
+//! - [`caller_shares`]: which jobs are within the rate that their caller was promised.
+//! - [`crash_attribution`]: which task crashes executors, and which merely ran beside it.
+//! - [`crash_rate`]: how often executors crash for reasons unrelated to a task.
+//! - [`circuit_breaker`]: which executors get no work because runs failed there.
+//! - [`start_window`]: how many starts are in flight at once.
+//! - [`start_backoff`]: how long a task waits after failed starts.
+//! - [`stragglers`]: which slow runs are stopped and restarted on another host.
+//! - [`speed_limits`]: how fast best-effort tasks may run beside serving tasks.
 
 pub mod arrivals;
-pub mod blame;
 pub mod call_budget;
+pub mod caller_shares;
+pub mod circuit_breaker;
+pub mod crash_attribution;
 pub mod crash_rate;
 pub mod gangs;
 pub mod label_shares;
 pub mod last_chance;
 pub mod lasting;
-pub mod learned;
 pub mod lending;
 pub mod order;
-pub mod pacing;
 pub mod peaks;
-pub mod placing;
+pub mod placement;
 pub mod quotas;
-pub mod shares;
-pub mod start_pauses;
+pub mod runtime_estimates;
+pub mod speed_limits;
+pub mod start_backoff;
 pub mod start_window;
 pub mod stragglers;
-pub mod trust;
 
 #[cfg(test)]
 mod tests;
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -13,11 +13,11 @@
     event::Now,
     job::{JobSpec, Submission},
     ledger::{
-        KEEP_OUTCOME,
+        OUTCOME_RETENTION,
         job::{Job, Occurrence},
-        record::{Leftover, Outcome, Record},
+        record::{LingeringRun, Outcome, Record},
     },
-    policy::{order::JobView, shares::JobRate},
+    policy::{caller_shares::JobBucket, order::JobView},
     reducer::{Scheduler, executors::Held},
     task::TaskKey,
 };
@@ -104,9 +104,10 @@
         let declared = self.config.as_ref().and_then(|config| config.callers.get(name));
         let Some(weight) = declared.map(|caller| caller.weight) else { return };
         if !self.job_rates.contains_key(name) {
-            self.job_rates.insert(name.clone(), JobRate::new(now.time, weight));
+            self.job_rates.insert(name.clone(), JobBucket::new(now.time, weight));
         }
-        let within = self.job_rates.get_mut(name).is_none_or(|rate| rate.take(now.time, weight));
+        let within =
+            self.job_rates.get_mut(name).is_none_or(|rate| rate.try_take(now.time, weight));
         if within {
             return;
         }
@@ -200,8 +201,8 @@
             let held = self.executors.get(executor)?.runs.get(task)?;
             let charge = held.charge.clone()?;
             let (executor, run, size) = (executor.clone(), held.run, held.size);
-            let leftover = Leftover { executor, run, size, charge };
-            Some(Record::Leftover { task: task.clone(), leftover })
+            let lingering = LingeringRun { executor, run, size, charge };
+            Some(Record::LingeringRun { task: task.clone(), lingering })
         });
         runs.collect()
     }
@@ -228,11 +229,11 @@
     }
 
     pub(super) fn forget_outcomes(&mut self, now: Now) {
-        let before = UnixMillis(now.wall.0.saturating_sub(KEEP_OUTCOME.as_millis() as u64));
+        let before = UnixMillis(now.wall.0.saturating_sub(OUTCOME_RETENTION.as_millis() as u64));
         let slack = FORGET_INTERVAL.as_millis() as u64;
         let overdue = self.ledger.finished.values().any(|f| f.at.0 + slack < before.0);
         if overdue {
-            self.record(Record::Forgotten { before });
+            self.record(Record::OutcomesDropped { before });
         }
     }
 
@@ -248,7 +249,7 @@
     pub(super) fn view_of(&self, job: &Job, times: &JobTimes, occurrence: u32) -> JobView {
         let spec = &job.submission.spec;
         let queue = &job.submission.queue.name;
-        let expect = |declared| self.learned.expect(queue, declared);
+        let expect = |declared| self.learned.estimate(queue, declared);
         let whole = longest_chain(spec, None, expect);
         let open = job.progress.open.get(&occurrence);
         let remaining = longest_chain(spec, open, expect);
--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/looks.rs
@@ -146,7 +146,7 @@
     }
 
     fn take_ends(&mut self, now: Now, executor: &ExecutorName, report: &Report) {
-        let seen = self.ledger.seen.get(executor).copied().unwrap_or(0);
+        let seen = self.ledger.last_ends.get(executor).copied().unwrap_or(0);
         for ended in report.ended.iter().filter(|ended| ended.number > seen) {
             self.ended(now, executor, ended);
         }
@@ -179,7 +179,7 @@
                     let was_at_work = held.is_at_work();
                     take_active(held, active, now.time);
                     if held.lasting && held.is_at_work() && !was_at_work {
-                        known.trust.succeeded();
+                        known.trust.record_success();
                     }
                 }
                 None => strays.push(active),
