--- a/crates/borageswitch_runtime/src/watching.rs
+++ b/crates/borageswitch_runtime/src/watching.rs
@@ -1,7 +1,7 @@
-//! Follows what others write: the configuration, and for a leader executors, jobs and waves.
+//! Watches on the store: the configuration, and on the leader executors, jobs and waves.
 //!
-//! Each watch goes on from where the last answer ended. Where the store has dropped the history in
-//! between, everything is read anew, so nothing is missed for longer than that takes.
+//! Each watch resumes from the revision of the last response. If the store has dropped the history
+//! since then, everything is read again, so no change is missed for longer than that takes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,36 +18,36 @@
     daemon::Shared,
     keys,
     ports::{Change, Item, Platform, Revision, StoreError, StoreResult},
-    retry::Pauses,
+    retry::Backoff,
     takeover::read_all,
 };
 
-/// How long other watches wait.
-const WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// How long the watch for waves waits: they are announced long before they are due.
-const WAVES_WAIT: Duration = Duration::from_millis(4_000);
-/// The pause after a watch has told of jobs. Each watch that returns is a call, and in a rush each job
-/// and each removal made one, although whoever stores a job tells the leader of it at once. What is
-/// told by the watch alone, as the other way failed, waits so much longer.
+/// How long a watch on executors or jobs waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long a watch on waves waits for a change: waves are announced long before they are due.
+const WAVES_WATCH_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The pause after a watch has returned changes of jobs. Without it, each job and each removal at a
+/// load peak causes a watch call, although the daemon that stores a job notifies the leader at
+/// once. A job whose notification failed is delayed by up to this pause.
 const INTAKE_PAUSE: Duration = Duration::from_millis(100);
-/// The pause after a watch has told of executors: hosts that were sent for together come within
-/// moments of each other.
+/// The pause after a watch has returned changes of executors: hosts that were requested together
+/// register within moments of each other.
 const EXECUTORS_PAUSE: Duration = Duration::from_millis(15);
-/// The pause after a call that failed.
+/// The pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The executors that are registered, and the revision from which to watch for more.
+/// The registered executors, and the revision from which to watch for changes.
 pub type ExecutorList = (Vec<Registration>, Revision);
 
-/// Adopts each higher version of the configuration.
+/// Watches the configuration and puts each higher version in force.
 pub async fn config<P>(shared: Arc<Shared<P>>)
 where
     P: Platform,
 {
-    let key = shared.platform.places().config.clone();
+    let key = shared.platform.external_keys().config.clone();
     let mut at: Option<Revision> = None;
     let mut lost = false;
-    let mut pauses = Pauses::new(RETRY_PAUSE);
+    let mut backoff = Backoff::new(RETRY_PAUSE);
     loop {
         let sent = clock::time();
         let outcome = match at {
@@ -56,9 +56,9 @@
         };
         match outcome {
             Ok(next) => {
-                shared.store_health.answered();
+                shared.store_health.record_success();
                 shared.confirm_config(sent);
-                pauses.answered();
+                backoff.reset();
                 if std::mem::take(&mut lost) {
                     log::info!("config-watch-regained");
                 }
@@ -66,14 +66,14 @@
             }
             Err(err) => {
                 if err != StoreError::HistoryGone {
-                    shared.store_health.failed(sent);
+                    shared.store_health.record_failure(sent);
                 }
                 if !std::mem::replace(&mut lost, true) {
                     log::warn!(reason = err.to_string().as_str(); "config-watch-lost");
                 }
-                // Reading the key is as cheap as a watch and cannot miss a change.
+                // Reading the key costs no more than a watch and cannot miss a change.
                 at = None;
-                Timer::after(pauses.failed()).await;
+                Timer::after(backoff.next_delay()).await;
             }
         }
     }
@@ -98,7 +98,7 @@
 where
     P: Platform,
 {
-    let seen = shared.platform.watch(key, after, shared.cfg.config_wait).await?;
+    let seen = shared.platform.watch(key, after, shared.cfg.config_watch_timeout).await?;
     for change in &seen.changes {
         if let Change::Written(item) = change {
             adopt(shared, item);
@@ -117,16 +117,16 @@
     }
 }
 
-/// Reads the executors that are registered.
+/// Reads the registered executors.
 ///
 /// # Errors
 ///
-/// Those of the store.
+/// Any error of the store.
 pub async fn list_executors<P>(platform: &P) -> StoreResult<ExecutorList>
 where
     P: Platform,
 {
-    let (items, at) = read_all(platform, &platform.places().executors).await?;
+    let (items, at) = read_all(platform, &platform.external_keys().executors).await?;
     let mut registrations = Vec::new();
     for item in items {
         match platform.decode_executor(&Change::Written(item)) {
@@ -138,18 +138,18 @@
     Ok((registrations, at))
 }
 
-/// Tells the leader which executors come and go.
+/// Watches the executors and sends their changes to the scheduler.
 pub async fn executors<P>(shared: &Arc<Shared<P>>, token: u64, from: Revision)
 where
     P: Platform,
 {
-    let prefix = shared.platform.places().executors.clone();
+    let prefix = shared.platform.external_keys().executors.clone();
     let mut at = Some(from);
     loop {
         let Some(after) = at else {
             match list_executors(&shared.platform).await {
                 Ok((all, from)) => {
-                    tell(shared, token, Event::Executors(all)).await;
+                    send_event(shared, token, Event::Executors(all)).await;
                     at = Some(from);
                 }
                 Err(_) => {
@@ -158,7 +158,7 @@
             }
             continue;
         };
-        match shared.platform.watch(&prefix, after, WATCH_WAIT).await {
+        match shared.platform.watch(&prefix, after, WATCH_TIMEOUT).await {
             Ok(seen) => {
                 for change in &seen.changes {
                     let Some(seen) = shared.platform.decode_executor(change) else {
@@ -166,9 +166,9 @@
                         continue;
                     };
                     if matches!(seen, Seen::Unreadable(_)) {
-                        shared.instruments.unreadable("registration");
+                        shared.instruments.count_unreadable("registration");
                     }
-                    tell(shared, token, Event::Executor(seen)).await;
+                    send_event(shared, token, Event::Executor(seen)).await;
                 }
                 at = Some(seen.at);
                 if !seen.changes.is_empty() {
@@ -183,7 +183,7 @@
     }
 }
 
-/// Tells the leader which jobs were accepted or cancelled.
+/// Watches for accepted and cancelled jobs and sends them to the scheduler.
 pub async fn intake<P>(shared: &Arc<Shared<P>>, token: u64, from: Revision)
 where
     P: Platform,
@@ -194,7 +194,7 @@
             match read_all(&shared.platform, keys::INTAKE).await {
                 Ok((items, from)) => {
                     for item in &items {
-                        take_in(shared, token, item).await;
+                        handle_intake_item(shared, token, item).await;
                     }
                     at = Some(from);
                 }
@@ -204,11 +204,11 @@
             }
             continue;
         };
-        match shared.platform.watch(keys::INTAKE, after, WATCH_WAIT).await {
+        match shared.platform.watch(keys::INTAKE, after, WATCH_TIMEOUT).await {
             Ok(seen) => {
                 for change in &seen.changes {
                     if let Change::Written(item) = change {
-                        take_in(shared, token, item).await;
+                        handle_intake_item(shared, token, item).await;
                     }
                 }
                 at = Some(seen.at);
@@ -224,7 +224,7 @@
     }
 }
 
-async fn take_in<P>(shared: &Arc<Shared<P>>, token: u64, item: &Item)
+async fn handle_intake_item<P>(shared: &Arc<Shared<P>>, token: u64, item: &Item)
 where
     P: Platform,
 {
@@ -234,28 +234,30 @@
         return;
     }
     match codec::decode_submission(&item.value) {
-        Ok(submission) => tell(shared, token, Event::Submitted(Arc::new(submission))).await,
+        Ok(submission) => send_event(shared, token, Event::Submitted(Arc::new(submission))).await,
         Err(err) => log::error!(key = &*item.key; "{err}"),
     }
 }
 
-/// Tells the leader which waves are asked for.
+/// Watches for requested waves and sends them to the scheduler.
 pub async fn waves<P>(shared: &Arc<Shared<P>>, token: u64)
 where
     P: Platform,
 {
-    let prefix = shared.platform.places().waves.clone();
+    let prefix = shared.platform.external_keys().waves.clone();
     let mut at = None;
     loop {
         let outcome = match at {
             None => read_all(&shared.platform, &prefix).await,
-            Some(after) => shared.platform.watch(&prefix, after, WAVES_WAIT).await.map(written),
+            Some(after) => {
+                shared.platform.watch(&prefix, after, WAVES_WATCH_TIMEOUT).await.map(written_items)
+            }
         };
         match outcome {
             Ok((items, next)) => {
                 for item in &items {
                     match shared.platform.decode_wave(item) {
-                        Some(wave) => tell(shared, token, Event::Wave(wave)).await,
+                        Some(wave) => send_event(shared, token, Event::Wave(wave)).await,
                         None => log::error!(key = &*item.key; "wave-unreadable"),
                     }
                 }
@@ -269,7 +271,7 @@
     }
 }
 
-fn written(seen: crate::ports::Changes) -> (Vec<Item>, Revision) {
+fn written_items(seen: crate::ports::Changes) -> (Vec<Item>, Revision) {
     let items = seen.changes.into_iter().filter_map(|change| match change {
         Change::Written(item) => Some(item),
         Change::Removed(_) => None,
@@ -277,10 +279,10 @@
     (items.collect(), seen.at)
 }
 
-async fn tell<P>(shared: &Arc<Shared<P>>, token: u64, event: Event)
+async fn send_event<P>(shared: &Arc<Shared<P>>, token: u64, event: Event)
 where
     P: Platform,
 {
-    // The queue is closed once the control thread has ended; then nobody leads here.
+    // Fails only if the control thread has ended; then this daemon does not lead.
     let _ = shared.control.send(Message::Event { token, event }).await;
 }
--- a/crates/borageswitch_runtime/tests/daemons.rs
+++ b/crates/borageswitch_runtime/tests/daemons.rs
@@ -1,5 +1,5 @@
-//! Whole daemons on a platform in memory: jobs come in at any of them, one leads, and whatever ends
-//! it, nothing is lost or done twice.
+//! Complete daemons on an in-memory platform. Jobs are submitted to any of them, and whatever ends
+//! the leader, no job is lost and no task runs twice.
 
 use std::{
     future::Future,
@@ -13,8 +13,8 @@
 };
 use borageswitch_runtime::{
     admission::Call,
-    answers::{Effective, Failure},
     daemon::{self, DaemonConfig, Shared},
+    failures::{Effective, Failure},
     intake,
     keys::LEADER,
 };
@@ -27,8 +27,8 @@
 use borageswitch_types::names::JobName;
 use smol::{Executor, Timer};
 
-/// A bound of liveness, far above what anything here takes on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// A timeout far above what anything here takes on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn queue() -> Queue {
     example::queue("runs", "/runs/", "payroll")
@@ -51,7 +51,7 @@
         peer_address: ([127, 0, 0, 1], 0).into(),
         weight: 1.0,
         limits: Limits::default(),
-        config_wait: Duration::from_millis(1_500),
+        config_watch_timeout: Duration::from_millis(1_500),
         keys_hold: None,
         meter: opentelemetry::global::meter("borageswitch"),
     };
@@ -65,16 +65,16 @@
     JobSpec { text: "text".into(), steps: vec![step, second], schedule: None }
 }
 
-async fn until<F, T>(mut tried: F) -> T
+async fn until<F, T>(mut attempt: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
 {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = tried().await {
+        if let Some(found) = attempt().await {
             return found;
         }
-        assert!(Instant::now() < end, "it did not happen in time");
+        assert!(Instant::now() < end, "timed out");
         Timer::after(Duration::from_millis(10)).await;
     }
 }
@@ -102,8 +102,8 @@
     }
 }
 
-/// Waits until a daemon leads, which a job that it has completed shows.
-async fn serves(daemon: &Daemon, job: &str) {
+/// Waits until there is a leader, which is shown by a completed job.
+async fn complete_job(daemon: &Daemon, job: &str) {
     ready(&[daemon]).await;
     submit(daemon, job).await;
     assert_eq!(outcome(daemon, job).await, Outcome::Completed);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_job_handed_in_at_any_daemon_is_completed_and_shown_by_all() {
+fn a_job_submitted_to_any_daemon_is_completed_and_shown_by_all() {
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let daemons = [start("d1", &platform, &ex), start("d2", &platform, &ex)];
@@ -137,8 +137,8 @@
 
 #[test]
 fn a_leader_that_stops_hands_over_without_a_gap_in_the_work() {
-    // The daemon that leads is told to end while a job is under way. Its callers ask the other one
-    // from then on, and every task is done once.
+    // The leader is shut down while a job runs. Callers use the other daemon from then on, and
+    // every task runs once.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let first = start("d1", &platform, &ex);
@@ -157,9 +157,9 @@
 }
 
 #[test]
-fn while_the_store_is_away_callers_are_told_at_once_that_nothing_ran() {
-    // The store refuses every call. Callers that were held until their patience ends would come
-    // back late; and "not accepted" has to be true.
+fn while_the_store_is_unavailable_requests_fail_at_once_and_nothing_ran() {
+    // The store refuses every call. Callers that are held until a timeout retry late, and "not
+    // accepted" must be true.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let daemon = start("d1", &platform, &ex);
@@ -171,9 +171,9 @@
         let refused = intake::submit(&daemon, Call::without_key(&queue()), &job, two_steps()).await;
 
         let failure = refused.unwrap_err();
-        assert_eq!(failure, Failure::StoreAway);
-        assert_eq!(failure.verdict().effective, Effective::No);
-        assert!(failure.verdict().retry_after.is_some());
+        assert_eq!(failure, Failure::StoreUnavailable);
+        assert_eq!(failure.error_response().effective, Effective::No);
+        assert!(failure.error_response().retry_after.is_some());
         platform.set_faults(PlatformFaults::default());
         let unknown =
             until(async || intake::status(&daemon, Call::without_key(&queue()), &job).await.err())
@@ -184,21 +184,21 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_is_neither_accepted_nor_refused() {
-    // The store carries a write out and its answer is lost. Told "not accepted", a caller would
-    // give up a job that runs; sent again, the request finds it and it stays one job.
+fn a_write_whose_response_is_lost_is_neither_accepted_nor_refused() {
+    // The store commits a write and its response is lost. On "not accepted" a caller would give up
+    // a job that runs. A repeated request finds the job, and it stays one job.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let daemon = start("d1", &platform, &ex);
     run(&ex, async {
-        serves(&daemon, "00000000000000ff").await;
+        complete_job(&daemon, "00000000000000ff").await;
         let job = JobName::from("00000000000000aa");
         platform.set_faults(PlatformFaults { store_loses_answers: true, ..Default::default() });
 
         let lost = intake::submit(&daemon, Call::without_key(&queue()), &job, two_steps()).await;
         platform.set_faults(PlatformFaults::default());
 
-        assert_eq!(lost.unwrap_err().verdict().effective, Effective::Unknown);
+        assert_eq!(lost.unwrap_err().error_response().effective, Effective::Unknown);
         submit(&daemon, "00000000000000aa").await;
         assert_eq!(outcome(&daemon, "00000000000000aa").await, Outcome::Completed);
         let of_job = |s: &&borageswitch_fakes::platform::Started| s.task.job == job;
@@ -226,8 +226,8 @@
     });
 }
 
-/// A leader, and a daemon that knows it and is then turned away by the store.
-async fn leader_and_outcast(first: &Daemon, second: &Daemon, handle: &MemoryPlatform) {
+/// Waits until both daemons know the leader, then has the store reject the second one.
+async fn reject_second(first: &Daemon, second: &Daemon, handle: &MemoryPlatform) {
     ready(&[first, second]).await;
     submit(first, "00000000000000ee").await;
     assert_eq!(outcome(second, "00000000000000ee").await, Outcome::Completed);
@@ -235,17 +235,17 @@
 }
 
 #[test]
-fn a_daemon_that_the_store_turns_away_accepts_through_the_leader() {
-    // The store refuses one daemon and serves the others. Its callers would be refused although the
-    // site can take their jobs.
+fn a_daemon_that_the_store_rejects_accepts_through_the_leader() {
+    // The store rejects one daemon and serves the others. Without the leader's help its callers
+    // would be refused although the site can take their jobs.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let handle = platform.another_handle();
     let first = start("d1", &platform, &ex);
     run(&ex, async {
-        serves(&first, "00000000000000dd").await;
+        complete_job(&first, "00000000000000dd").await;
         let second = start("d2", &handle, &ex);
-        leader_and_outcast(&first, &second, &handle).await;
+        reject_second(&first, &second, &handle).await;
         let job = JobName::from("00000000000000aa");
 
         let accepted =
@@ -258,53 +258,52 @@
 
 #[test]
 fn what_the_leader_may_have_stored_is_not_refused() {
-    // The store refuses one daemon, which hands the job to the leader; the leader's write is
-    // carried out and its answer lost. Told "not accepted", the caller would give up a job that
-    // runs.
+    // The store rejects one daemon, which forwards the job to the leader. The leader's write is
+    // committed and its response lost. On "not accepted" the caller would give up a job that runs.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let handle = platform.another_handle();
     let first = start("d1", &platform, &ex);
     run(&ex, async {
-        serves(&first, "00000000000000dd").await;
+        complete_job(&first, "00000000000000dd").await;
         let second = start("d2", &handle, &ex);
-        leader_and_outcast(&first, &second, &handle).await;
+        reject_second(&first, &second, &handle).await;
         platform.set_faults(PlatformFaults { store_loses_answers: true, ..Default::default() });
         let job = JobName::from("00000000000000aa");
 
-        let unsettled =
+        let indeterminate =
             intake::submit(&second, Call::without_key(&queue()), &job, two_steps()).await;
         platform.set_faults(PlatformFaults::default());
 
-        assert_eq!(unsettled.unwrap_err().verdict().effective, Effective::Unknown);
+        assert_eq!(indeterminate.unwrap_err().error_response().effective, Effective::Unknown);
         assert_eq!(outcome(&first, "00000000000000aa").await, Outcome::Completed);
     });
 }
 
 #[test]
 fn callers_are_not_the_ones_who_try_a_store_that_is_silent() {
-    // The store falls silent for seconds, and a caller comes to this daemon twice a second. If each
-    // tried the store, each would be held for as long as a call may take, only to be told what the
-    // daemon has known since the first.
+    // The store does not respond for seconds, and this daemon gets two requests a second. If each
+    // called the store, each would be held until a timeout, only to find out what the daemon has
+    // known since the first.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let daemon = start("d1", &platform, &ex);
     run(&ex, async {
-        serves(&daemon, "00000000000000aa").await;
+        complete_job(&daemon, "00000000000000aa").await;
         let store_hangs = Duration::from_millis(200);
         platform.set_faults(PlatformFaults { store_hangs, ..Default::default() });
         let first =
             intake::submit(&daemon, Call::without_key(&queue()), &JobName::from("b0"), two_steps())
                 .await;
-        assert_eq!(first, Err(Failure::StoreSilent));
+        assert_eq!(first, Err(Failure::StoreNoResponse));
 
         for number in 1..5 {
             Timer::after(Duration::from_millis(500)).await;
             let job = JobName::from(format!("b{number}"));
-            let told =
+            let result =
                 intake::submit(&daemon, Call::without_key(&queue()), &job, two_steps()).await;
-            // Nothing was tried, so nothing can have been stored.
-            assert_eq!(told, Err(Failure::StoreAway));
+            // The store was not called, so nothing can have been stored.
+            assert_eq!(result, Err(Failure::StoreUnavailable));
         }
 
         platform.set_faults(PlatformFaults::default());
@@ -314,14 +313,14 @@
 }
 
 #[test]
-fn a_job_starts_although_no_watch_tells_of_it() {
-    // The store's watches hear nothing for a while, as when it drops its history. The caller was
-    // told that its job is accepted; waiting for the watch, it would be late in the middle of a rush.
+fn a_job_starts_although_no_watch_reports_it() {
+    // The store's watches report nothing for a while, as when it drops its history. An accepted job
+    // that waited for the watch would be late at a load peak.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     let first = start("d1", &platform, &ex);
     run(&ex, async {
-        serves(&first, "00000000000000aa").await;
+        complete_job(&first, "00000000000000aa").await;
         let second = start("d2", &platform, &ex);
         ready(&[&second]).await;
         assert_eq!(outcome(&second, "00000000000000aa").await, Outcome::Completed);
@@ -335,10 +334,11 @@
     });
 }
 
-/// Two daemons of which the first leads and the second has asked it, each with a handle of its own.
-async fn acquainted(platform: &MemoryPlatform, ex: &Arc<Executor<'static>>) -> [Daemon; 2] {
+/// Starts two daemons with separate platform handles. The first leads, the second has sent it a
+/// request.
+async fn leader_and_peer(platform: &MemoryPlatform, ex: &Arc<Executor<'static>>) -> [Daemon; 2] {
     let first = start("d1", &platform.another_handle(), ex);
-    serves(&first, "00000000000000aa").await;
+    complete_job(&first, "00000000000000aa").await;
     let second = start("d2", &platform.another_handle(), ex);
     ready(&[&second]).await;
     submit(&second, "00000000000000bb").await;
@@ -347,13 +347,13 @@
 }
 
 #[test]
-fn a_leader_that_the_store_turns_away_hands_over() {
-    // The store turns the leader away and serves all others. Until its lease ran out, nothing would
-    // be started anywhere.
+fn a_leader_that_the_store_rejects_hands_over() {
+    // The store rejects the leader and serves all others. Without a handover nothing would start
+    // until the lease expires.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     run(&ex, async {
-        let [first, second] = acquainted(&platform, &ex).await;
+        let [first, second] = leader_and_peer(&platform, &ex).await;
         first.platform.turn_away(true);
 
         let led = platform.get(LEADER).map(|item| item.revision);
@@ -366,13 +366,13 @@
 }
 
 #[test]
-fn a_daemon_that_the_store_turns_away_finds_the_next_leader() {
-    // The leader changes while the store turns a daemon away: by the store it would know no other
-    // than the one before, and refuse its callers for as long as that lasts.
+fn a_daemon_that_the_store_rejects_finds_the_next_leader() {
+    // The leader changes while the store rejects a daemon. From the store it cannot learn of the
+    // new leader, and it would refuse its callers for as long as that lasts.
     let ex = Arc::new(Executor::new());
     let platform = platform();
     run(&ex, async {
-        let [first, second] = acquainted(&platform, &ex).await;
+        let [first, second] = leader_and_peer(&platform, &ex).await;
         first.platform.turn_away(true);
 
         submit(&first, "00000000000000cc").await;
