--- a/crates/borageswitch_fakes/src/platform/port.rs
+++ b/crates/borageswitch_fakes/src/platform/port.rs
@@ -32,14 +32,14 @@
     async fn read(&self, key: &str) -> StoreResult<ReadResponse> {
         self.pass().await?;
         let inner = self.admit()?;
-        Ok(ReadResponse { item: inner.store.get(key), at: inner.store.revision() })
+        Ok(ReadResponse { item: inner.store.get(key), store_revision: inner.store.revision() })
     }
 
     async fn list(&self, prefix: &str, after: Option<&str>) -> StoreResult<Page> {
         self.pass().await?;
         let inner = self.admit()?;
         let items = inner.store.list(prefix, after);
-        Ok(Page { items, more: false, at: inner.store.revision() })
+        Ok(Page { items, more: false, store_revision: inner.store.revision() })
     }
 
     async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> StoreResult<Changes> {
@@ -50,11 +50,11 @@
                 let inner = self.admit()?;
                 let changes = inner.store.changes(prefix, after).ok_or(StoreError::HistoryGone)?;
                 if inner.faults.watches_deaf && Instant::now() >= until {
-                    return Ok(Changes { changes: Vec::new(), at: after });
+                    return Ok(Changes { changes: Vec::new(), last_revision: after });
                 }
                 let heard = !changes.is_empty() && !inner.faults.watches_deaf;
                 if heard || Instant::now() >= until {
-                    return Ok(Changes { changes, at: inner.store.revision() });
+                    return Ok(Changes { changes, last_revision: inner.store.revision() });
                 }
             }
             Timer::after(LOOK_AGAIN).await;
--- a/crates/borageswitch_runtime/src/appends.rs
+++ b/crates/borageswitch_runtime/src/appends.rs
@@ -62,8 +62,8 @@
             }
             Ok(CommitOutcome::Conflict(items)) => {
                 let leads = items.iter().any(|i| &*i.key == keys::LEADER && i.revision == token);
-                let there = items.iter().any(|item| item.key == key);
-                if leads && there {
+                let exists = items.iter().any(|item| item.key == key);
+                if leads && exists {
                     return AppendOutcome::Stored;
                 }
                 if !leads {
--- a/crates/borageswitch_runtime/src/daemon.rs
+++ b/crates/borageswitch_runtime/src/daemon.rs
@@ -36,7 +36,7 @@
 
 /// The capacity of the queue to the control thread. A full queue applies back-pressure to the
 /// senders.
-const MESSAGE_QUEUE: usize = 16_384;
+const MESSAGE_QUEUE_CAPACITY: usize = 16_384;
 
 /// The configuration of a daemon.
 #[derive(Clone, Debug)]
@@ -250,7 +250,7 @@
 {
     let listener = smol::Async::<std::net::TcpListener>::bind(cfg.peer_address)?;
     cfg.peer_address = listener.get_ref().local_addr()?;
-    let (control, messages) = async_channel::bounded(MESSAGE_QUEUE);
+    let (control, messages) = async_channel::bounded(MESSAGE_QUEUE_CAPACITY);
     let (effects_tx, effects) = async_channel::unbounded::<PendingEffect>();
     let instruments = Arc::new(Instruments::new(&cfg.meter));
     let peer_bytes = ByteCounter::new(&cfg.meter);
--- a/crates/borageswitch_runtime/src/election.rs
+++ b/crates/borageswitch_runtime/src/election.rs
@@ -129,17 +129,17 @@
     let due = clock::time() + delay;
     let seen = shared.platform.watch(keys::LEADER, at, delay).await;
     // Only the last change counts: earlier ones may be of former leaders.
-    let begun = match seen.ok().and_then(|seen| seen.changes.into_iter().last()) {
+    let elected = match seen.ok().and_then(|seen| seen.changes.into_iter().last()) {
         Some(Change::Written(item)) => {
             record_leader(shared, &item);
             true
         }
         Some(Change::Removed(_)) | None => false,
     };
-    if !begun {
+    if !elected {
         Timer::after(due.since(clock::time())).await;
     }
-    !begun
+    !elected
 }
 
 /// Waits until there is no leader, and records the leader until then. Gives the store's revision at
@@ -153,7 +153,7 @@
 {
     let current = shared.platform.read(keys::LEADER).await?;
     backoff.reset();
-    let mut at = current.at;
+    let mut at = current.store_revision;
     let Some(item) = current.item else {
         shared.set_leader(None);
         return Ok(at);
@@ -164,7 +164,7 @@
             return Ok(at);
         }
         let seen = shared.platform.watch(keys::LEADER, at, WATCH_TIMEOUT).await?;
-        at = seen.at;
+        at = seen.last_revision;
         match seen.changes.last() {
             Some(Change::Removed(_)) => {
                 shared.set_leader(None);
@@ -244,6 +244,8 @@
     Ok(Some(Term { token, lease }))
 }
 
+/// Reads the leader key back after the response to its write was lost. Gives the revision of the
+/// write if it took effect.
 async fn read_back<P>(
     shared: &Arc<Shared<P>>,
     record: &LeaderRecord,
@@ -253,7 +255,7 @@
 {
     match read_leader(shared).await {
         Err(StoreError::Unreadable) => Ok(None),
-        there => Ok(there?.filter(|(there, _)| there.nonce == record.nonce).map(|(_, at)| at)),
+        stored => Ok(stored?.filter(|(stored, _)| stored.nonce == record.nonce).map(|(_, at)| at)),
     }
 }
 
--- a/crates/borageswitch_runtime/src/intake.rs
+++ b/crates/borageswitch_runtime/src/intake.rs
@@ -114,13 +114,13 @@
 async fn submit_through_leader<P>(
     shared: &Arc<Shared<P>>,
     submission: Submission,
-    own: Failure,
+    local_failure: Failure,
 ) -> RequestResult<()>
 where
     P: Platform,
 {
     let request = PeerRequest::Submit(Box::new(submission));
-    let mut outcome = submit_to_leader(shared, &request, own).await;
+    let mut outcome = submit_to_leader(shared, &request, local_failure).await;
     // A known peer may know a newer leader. That leader may store the job whatever the outcome of
     // the first attempt, as it remains one job.
     if outcome.is_err() && shared.find_leader().await {
@@ -133,15 +133,15 @@
 async fn submit_to_leader<P>(
     shared: &Arc<Shared<P>>,
     request: &PeerRequest,
-    own: Failure,
+    local_failure: Failure,
 ) -> RequestResult<()>
 where
     P: Platform,
 {
-    let Some(leader) = shared.remote_leader() else { return Err(own) };
+    let Some(leader) = shared.remote_leader() else { return Err(local_failure) };
     match shared.send_to_peer(leader, request).await {
         Some(PeerResponse::Accepted) => Ok(()),
-        Some(PeerResponse::Refused) => Err(own),
+        Some(PeerResponse::Refused) => Err(local_failure),
         _ => Err(Failure::StoreNoResponse),
     }
 }
--- a/crates/borageswitch_runtime/src/ports.rs
+++ b/crates/borageswitch_runtime/src/ports.rs
@@ -38,7 +38,7 @@
     /// The item, if the key exists.
     pub item: Option<Item>,
     /// The store's revision at the time of the read.
-    pub at: Revision,
+    pub store_revision: Revision,
 }
 
 /// A page of a list of items.
@@ -49,7 +49,7 @@
     /// Whether more items follow the last one.
     pub more: bool,
     /// The store's revision at the time of the read.
-    pub at: Revision,
+    pub store_revision: Revision,
 }
 
 /// A change reported by a watch.
@@ -66,8 +66,8 @@
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// The revision from which to continue watching.
-    pub at: Revision,
+    /// The revision up to which changes were reported; the next watch continues after it.
+    pub last_revision: Revision,
 }
 
 /// An atomic change of several keys.
--- a/crates/borageswitch_runtime/src/settings.rs
+++ b/crates/borageswitch_runtime/src/settings.rs
@@ -24,10 +24,10 @@
 const CONFIG_WATCH_SHARE: f64 = 0.6;
 /// The time that a watch waits, as a share of the time for which a strict site accepts unconfirmed
 /// keys. The last confirmation of a connected daemon is up to two watches and a slow response old.
-const KEYS_HOLD_SHARE: f64 = 0.3;
+const KEYS_HOLD_WATCH_SHARE: f64 = 0.3;
 /// The share of the time for shutdown in which callers are still served; the rest is for the last
 /// responses.
-const STOP_SHARE: f64 = 0.8;
+const DRAIN_SHARE: f64 = 0.8;
 
 /// The addresses at which the daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,13 +115,13 @@
     pub fn config_watch_timeout(&self) -> Duration {
         let wait =
             self.promises.config_apply.mul_f64(CONFIG_WATCH_SHARE).max(MIN_CONFIG_WATCH_TIMEOUT);
-        let hold = self.promises.keys_hold.map(|hold| hold.mul_f64(KEYS_HOLD_SHARE));
+        let hold = self.promises.keys_hold.map(|hold| hold.mul_f64(KEYS_HOLD_WATCH_SHARE));
         hold.map_or(wait, |hold| wait.min(hold.max(MIN_CONFIG_WATCH_TIMEOUT)))
     }
 
     /// How long callers are still served after the shutdown has begun.
     pub fn drain_time(&self) -> Duration {
-        self.promises.stop.mul_f64(STOP_SHARE)
+        self.promises.stop.mul_f64(DRAIN_SHARE)
     }
 }
 
--- a/crates/borageswitch_runtime/src/takeover.rs
+++ b/crates/borageswitch_runtime/src/takeover.rs
@@ -36,7 +36,7 @@
 struct Listing {
     items: Vec<Item>,
     /// The revision of the first page.
-    at: Option<Revision>,
+    first_revision: Option<Revision>,
     complete: bool,
 }
 
@@ -60,7 +60,7 @@
 
     fn add_page(&mut self, page: Page) {
         // Pages differ in revision; a watch from the first page's revision misses no change.
-        self.at.get_or_insert(page.at);
+        self.first_revision.get_or_insert(page.store_revision);
         self.complete = !page.more || page.items.is_empty();
         self.items.extend(page.items);
     }
@@ -77,7 +77,7 @@
 {
     let mut listing = Listing::default();
     listing.read(platform, prefix).await?;
-    Ok((listing.items, listing.at.unwrap_or_default()))
+    Ok((listing.items, listing.first_revision.unwrap_or_default()))
 }
 
 /// The progress of a takeover, kept across errors.
@@ -125,7 +125,7 @@
 }
 
 fn rebuild(snapshot: Snapshot, appends: &[Item], intake: &Listing) -> StoreResult<RecoveredState> {
-    let intake_revision = intake.at.unwrap_or_default();
+    let intake_revision = intake.first_revision.unwrap_or_default();
     let mut submissions = Vec::new();
     let mut cancelled = Vec::new();
     for item in &intake.items {
--- a/crates/borageswitch_runtime/src/takeover/tests.rs
+++ b/crates/borageswitch_runtime/src/takeover/tests.rs
@@ -7,7 +7,7 @@
 fn page(number: usize) -> Page {
     let key: Arc<str> = format!("log/{number}").into();
     let item = Item { key, value: Vec::new(), revision: 1 };
-    Page { items: vec![item], more: number + 1 < PAGES, at: 100 + number as Revision }
+    Page { items: vec![item], more: number + 1 < PAGES, store_revision: 100 + number as Revision }
 }
 
 fn number_after(after: Option<&str>) -> usize {
@@ -30,5 +30,5 @@
     }
 
     assert_eq!(listing.items.len(), PAGES);
-    assert_eq!(listing.at, Some(100));
+    assert_eq!(listing.first_revision, Some(100));
 }
--- a/crates/borageswitch_runtime/src/watching.rs
+++ b/crates/borageswitch_runtime/src/watching.rs
@@ -87,7 +87,7 @@
     if let Some(item) = &reading.item {
         adopt(shared, item);
     }
-    Ok(reading.at)
+    Ok(reading.store_revision)
 }
 
 async fn watch_config<P>(
@@ -104,7 +104,7 @@
             adopt(shared, item);
         }
     }
-    Ok(seen.at)
+    Ok(seen.last_revision)
 }
 
 fn adopt<P>(shared: &Arc<Shared<P>>, item: &Item)
@@ -170,7 +170,7 @@
                     }
                     send_event(shared, token, Event::Executor(seen)).await;
                 }
-                at = Some(seen.at);
+                at = Some(seen.last_revision);
                 if !seen.changes.is_empty() {
                     Timer::after(EXECUTORS_PAUSE).await;
                 }
@@ -211,7 +211,7 @@
                         handle_intake_item(shared, token, item).await;
                     }
                 }
-                at = Some(seen.at);
+                at = Some(seen.last_revision);
                 if !seen.changes.is_empty() {
                     Timer::after(INTAKE_PAUSE).await;
                 }
@@ -276,7 +276,7 @@
         Change::Written(item) => Some(item),
         Change::Removed(_) => None,
     });
-    (items.collect(), seen.at)
+    (items.collect(), seen.last_revision)
 }
 
 async fn send_event<P>(shared: &Arc<Shared<P>>, token: u64, event: Event)
