--- a/crates/borageswitch_fakes/src/platform/port.rs
+++ b/crates/borageswitch_fakes/src/platform/port.rs
@@ -8,8 +8,8 @@
 use borageswitch_runtime::{
     codec,
     ports::{
-        Change, Changes, Commander, Committed, Item, LeaseId, Page, Places, Platform, Reading,
-        Revision, StoreError, StoreResult, Transaction,
+        Change, Changes, CommitOutcome, ExternalKeys, Item, LeaseId, OrderIssuer, Page, Platform,
+        ReadResponse, Revision, StoreError, StoreResult, Transaction,
     },
 };
 use borageswitch_scheduler::{
@@ -25,21 +25,21 @@
 use super::{CRASHING_TEXT, Inner, LOOK_AGAIN, MemoryPlatform};
 
 impl Platform for MemoryPlatform {
-    fn places(&self) -> &Places {
+    fn external_keys(&self) -> &ExternalKeys {
         &self.wire.places
     }
 
-    async fn read(&self, key: &str) -> StoreResult<Reading> {
+    async fn read(&self, key: &str) -> StoreResult<ReadResponse> {
         self.pass().await?;
         let inner = self.admit()?;
-        Ok(Reading { item: inner.store.get(key), at: inner.store.revision() })
+        Ok(ReadResponse { item: inner.store.get(key), store_revision: inner.store.revision() })
     }
 
     async fn list(&self, prefix: &str, after: Option<&str>) -> StoreResult<Page> {
         self.pass().await?;
         let inner = self.admit()?;
         let items = inner.store.list(prefix, after);
-        Ok(Page { items, more: false, at: inner.store.revision() })
+        Ok(Page { items, more: false, store_revision: inner.store.revision() })
     }
 
     async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> StoreResult<Changes> {
@@ -50,18 +50,18 @@
                 let inner = self.admit()?;
                 let changes = inner.store.changes(prefix, after).ok_or(StoreError::HistoryGone)?;
                 if inner.faults.watches_deaf && Instant::now() >= until {
-                    return Ok(Changes { changes: Vec::new(), at: after });
+                    return Ok(Changes { changes: Vec::new(), last_revision: after });
                 }
                 let heard = !changes.is_empty() && !inner.faults.watches_deaf;
                 if heard || Instant::now() >= until {
-                    return Ok(Changes { changes, at: inner.store.revision() });
+                    return Ok(Changes { changes, last_revision: inner.store.revision() });
                 }
             }
             Timer::after(LOOK_AGAIN).await;
         }
     }
 
-    async fn commit(&self, tx: &Transaction) -> StoreResult<Committed> {
+    async fn commit(&self, tx: &Transaction) -> StoreResult<CommitOutcome> {
         self.pass().await?;
         let mut inner = self.admit()?;
         let committed = inner.store.commit(tx);
@@ -142,7 +142,7 @@
         }
     }
 
-    async fn look(&self, to: &Recipient, token: u64, order: &PollOrder) -> PollResponse {
+    async fn poll(&self, to: &Recipient, token: u64, order: &PollOrder) -> PollResponse {
         let until = Instant::now() + order.wait;
         loop {
             {
@@ -164,7 +164,14 @@
         }
     }
 
-    async fn pace(&self, _: &Recipient, _: u64, _: &TaskKey, _: u32, _: u8) -> OrderResponse {
+    async fn set_speed_limit(
+        &self,
+        _: &Recipient,
+        _: u64,
+        _: &TaskKey,
+        _: u32,
+        _: u8,
+    ) -> OrderResponse {
         OrderResponse::Done
     }
 
@@ -176,13 +183,13 @@
         Some(executors.iter().map(|executor| (executor.clone(), "ticket".into())).collect())
     }
 
-    async fn hosts(&self) -> Option<Vec<HostEntry>> {
+    async fn list_hosts(&self) -> Option<Vec<HostEntry>> {
         Some(self.lock().hosts.list())
     }
 
     async fn order_host(
         &self,
-        _: &Commander,
+        _: &OrderIssuer,
         host: &HostName,
         order: &HostOrder,
     ) -> HostOrderResponse {
--- a/crates/borageswitch_runtime/src/takeover/tests.rs
+++ b/crates/borageswitch_runtime/src/takeover/tests.rs
@@ -1,14 +1,13 @@
-//! A takeover from a store that fails now and then.
+//! A takeover from a store that fails some calls.
 
 use super::*;
 
-/// How many pages there are.
 const PAGES: usize = 9;
 
 fn page(number: usize) -> Page {
     let key: Arc<str> = format!("log/{number}").into();
     let item = Item { key, value: Vec::new(), revision: 1 };
-    Page { items: vec![item], more: number + 1 < PAGES, at: 100 + number as Revision }
+    Page { items: vec![item], more: number + 1 < PAGES, store_revision: 100 + number as Revision }
 }
 
 fn number_after(after: Option<&str>) -> usize {
@@ -16,20 +15,20 @@
 }
 
 #[test]
-fn a_takeover_goes_on_from_the_page_that_it_has_reached() {
-    // Guards against a takeover that begins anew with each call that fails, and so never ends.
+fn a_takeover_resumes_after_the_last_page() {
+    // Guards against a takeover that restarts after each failed call, and so never ends.
     let mut listing = Listing::default();
     let mut calls = 0;
 
-    while !listing.whole {
+    while !listing.complete {
         calls += 1;
         let fails = calls % 3 == 0;
         if !fails {
-            listing.take(page(number_after(listing.reached().as_deref())));
+            listing.add_page(page(number_after(listing.last_key().as_deref())));
         }
         assert!(calls < 2 * PAGES, "it does not end");
     }
 
     assert_eq!(listing.items.len(), PAGES);
-    assert_eq!(listing.at, Some(100));
+    assert_eq!(listing.first_revision, Some(100));
 }
