--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -23,9 +23,9 @@
 };
 
 /// How many executors one call asks about.
-const ASK_ABOUT: usize = 30;
+const MAX_EXECUTORS_PER_REQUEST: usize = 30;
 /// The most calls that wait at once: the advisor refuses when 32 calls of all daemons wait.
-const MAX_CALLS: usize = 4;
+const MAX_REQUESTS_IN_FLIGHT: usize = 4;
 /// A permission is used only while so much of its time is left: the order has yet to be stored and
 /// to arrive.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Advice {
     verdicts: BTreeMap<StepKey, BTreeMap<ExecutorName, Verdict>>,
-    asking: BTreeMap<StepKey, Time>,
+    in_flight: BTreeMap<StepKey, Time>,
     not_before: Time,
 }
 
@@ -86,9 +86,10 @@
     ///
     /// Hosts with room that were not asked about yet come in, whether or not others are permitted:
     /// those may be full, or have as many tasks of the step as they may have.
-    pub(super) fn ask_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
+    pub(super) fn request_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
         let advice = &self.advice;
-        let busy = advice.asking.len() >= MAX_CALLS || advice.asking.contains_key(key);
+        let busy =
+            advice.in_flight.len() >= MAX_REQUESTS_IN_FLIGHT || advice.in_flight.contains_key(key);
         if busy || now.time < advice.not_before {
             return;
         }
@@ -107,15 +108,15 @@
             .cloned()
             .collect();
         ask.sort_by_key(|executor| std::cmp::Reverse(room[executor].cpu_milli));
-        ask.truncate(ASK_ABOUT);
+        ask.truncate(MAX_EXECUTORS_PER_REQUEST);
         if ask.is_empty() {
             return;
         }
-        self.advice.asking.insert(key.clone(), now.time);
+        self.advice.in_flight.insert(key.clone(), now.time);
         self.effects.push(Effect::Advise(key.clone(), ask));
     }
 
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
         now: Now,
         sent: Time,
@@ -123,7 +124,7 @@
         asked: &[ExecutorName],
         allowed: Option<Vec<(ExecutorName, Arc<str>)>>,
     ) {
-        self.advice.asking.remove(step);
+        self.advice.in_flight.remove(step);
         self.stir_pool_of(&step.job);
         let Some(allowed) = allowed else {
             self.advice.not_before = now.time + RETRY_PAUSE;
@@ -149,6 +150,6 @@
     pub(super) fn forget_advice(&mut self) {
         let jobs = &self.ledger.jobs;
         self.advice.verdicts.retain(|step, _| jobs.contains_key(&step.job));
-        self.advice.asking.retain(|step, _| jobs.contains_key(&step.job));
+        self.advice.in_flight.retain(|step, _| jobs.contains_key(&step.job));
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -30,51 +30,51 @@
 
 /// How it was learned that an executor has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum EndDetection {
     /// Another life answered at its address.
-    OtherLifeAnswered,
+    OtherIncarnationAnswered,
     /// Another life is registered at its address.
-    OtherLifeRegistered,
+    OtherIncarnationRegistered,
     /// It is registered again under its name, as a later life.
-    Restarted(HostFate),
+    Restarted(HostOutcome),
     /// No host of the platform's list has it.
     Unlisted {
         /// When the list was asked for.
-        asked: Time,
+        listed_at: Time,
         /// What has become of its host.
-        fate: HostFate,
+        host: HostOutcome,
     },
     /// The platform has carried out an order for its host.
-    HostTaken,
+    HostOrderCompleted,
     /// It is registered no more and its lease has ended.
     Expired,
 }
 
-impl Ending {
+impl EndDetection {
     /// How it was learned.
     pub fn why(&self) -> &'static str {
         match self {
-            Ending::OtherLifeAnswered => "another life answered",
-            Ending::OtherLifeRegistered => "another life is registered at its address",
-            Ending::Restarted(_) => "it has started again",
-            Ending::Unlisted { .. } => "no host has it",
-            Ending::HostTaken => "its host was taken away",
-            Ending::Expired => "registration and lease ended",
+            EndDetection::OtherIncarnationAnswered => "another life answered",
+            EndDetection::OtherIncarnationRegistered => "another life is registered at its address",
+            EndDetection::Restarted(_) => "it has started again",
+            EndDetection::Unlisted { .. } => "no host has it",
+            EndDetection::HostOrderCompleted => "its host was taken away",
+            EndDetection::Expired => "registration and lease ended",
         }
     }
 
     /// When nobody was there under the executor's name, if that is known.
-    pub fn away(&self) -> Option<Time> {
+    pub fn absent_at(&self) -> Option<Time> {
         match self {
-            Ending::Unlisted { asked, .. } => Some(*asked),
+            EndDetection::Unlisted { listed_at, .. } => Some(*listed_at),
             _ => None,
         }
     }
 
     /// What has become of its host, as far as it is known.
-    fn fate(&self) -> Option<&HostFate> {
+    fn host_outcome(&self) -> Option<&HostOutcome> {
         match self {
-            Ending::Unlisted { fate, .. } | Ending::Restarted(fate) => Some(fate),
+            EndDetection::Unlisted { host, .. } | EndDetection::Restarted(host) => Some(host),
             _ => None,
         }
     }
@@ -82,7 +82,7 @@
 
 /// What has become of the host of an executor that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum HostFate {
+pub enum HostOutcome {
     /// No earlier list told which host it was.
     #[display("unknown")]
     Unknown,
@@ -91,7 +91,7 @@
     Ordered(HostName),
     /// It is listed in this state.
     #[display("{_0} {_1}")]
-    Stays(HostName, HostState),
+    Listed(HostName, HostState),
     /// It is listed no more.
     #[display("{_0} removed")]
     Removed(HostName),
@@ -99,7 +99,7 @@
 
 /// Why an executor has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Cause {
+pub enum EndCause {
     /// By itself.
     #[display("crash")]
     Crash,
@@ -117,10 +117,10 @@
     Unknown,
 }
 
-impl Cause {
+impl EndCause {
     /// Whether an executor may have crashed all the same, though that is not the likeliest cause.
     fn may_hide_crash(self) -> bool {
-        matches!(self, Cause::Drain | Cause::Removal | Cause::Unknown)
+        matches!(self, EndCause::Drain | EndCause::Removal | EndCause::Unknown)
     }
 }
 
@@ -132,9 +132,9 @@
     /// The run.
     pub run: u32,
     /// How long it was there at most; nothing if an earlier leader started it.
-    pub age: Option<Duration>,
+    pub max_age: Option<Duration>,
     /// How long it was there at least.
-    pub lived: Duration,
+    pub min_age: Duration,
     /// The time within which the crash came, as far as it is known: since the start, or since the
     /// executor was last known to live if the start got no answer. Nothing as for the age.
     pub window: Option<Duration>,
@@ -145,10 +145,10 @@
 pub struct EndedExecutor {
     pub(super) executor: ExecutorName,
     pool: PoolName,
-    ending: Ending,
-    cause: Cause,
+    detection: EndDetection,
+    cause: EndCause,
     /// It has answered until then.
-    heard: Option<Time>,
+    last_contact: Option<Time>,
     /// It has ended by then.
     ended_by: Time,
     pub(super) runs: Vec<LostRun>,
@@ -156,15 +156,20 @@
 
 impl EndedExecutor {
     /// An executor that is found to have ended.
-    pub(super) fn new(known: &Executor, ending: Ending, seen_up: Option<Time>, now: Time) -> Self {
-        let mut runs = known.lapsed.clone();
+    pub(super) fn new(
+        known: &Executor,
+        ending: EndDetection,
+        seen_up: Option<Time>,
+        now: Time,
+    ) -> Self {
+        let mut runs = known.expired_runs.clone();
         runs.extend(lost_runs(known, seen_up, now));
         Self {
             executor: known.registration.executor.clone(),
             pool: known.registration.pool.clone(),
             cause: cause(known, &ending, &runs),
-            ending,
-            heard: known.clock.map(|clock| clock.received),
+            detection: ending,
+            last_contact: known.clock.map(|clock| clock.received),
             ended_by: ended_by(known, now),
             runs,
         }
@@ -172,23 +177,23 @@
 
     /// Its host, if a list told which it was.
     pub(super) fn host(&self) -> Option<&HostName> {
-        match self.ending.fate() {
-            Some(HostFate::Stays(host, _)) => Some(host),
+        match self.detection.host_outcome() {
+            Some(HostOutcome::Listed(host, _)) => Some(host),
             _ => None,
         }
     }
 
     /// Whether it may have ended in the same moment as another one.
     fn coincides(&self, other: &Self) -> bool {
-        let before = |a: &Self, b: &Self| a.heard.is_none_or(|heard| heard <= b.ended_by);
+        let before = |a: &Self, b: &Self| a.last_contact.is_none_or(|heard| heard <= b.ended_by);
         before(self, other) && before(other, self)
     }
 }
 
 impl fmt::Display for EndedExecutor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "runs={} why={} cause={}", self.runs.len(), self.ending.why(), self.cause)?;
-        match self.ending.fate() {
+        write!(f, "runs={} why={} cause={}", self.runs.len(), self.detection.why(), self.cause)?;
+        match self.detection.host_outcome() {
             Some(fate) => write!(f, " host={fate}"),
             None => Ok(()),
         }
@@ -203,12 +208,12 @@
     let lost = started.map(|(task, held)| {
         let alive = alive.unwrap_or(Time::ZERO);
         // A start without an answer may have been sent to an executor that had crashed before.
-        let since = held.ordered.map(|at| if held.confirmed { at } else { at.min(alive) });
+        let since = held.start_sent.map(|at| if held.confirmed { at } else { at.min(alive) });
         LostRun {
             task: task.clone(),
             run: held.run,
-            age: held.ordered.map(|ordered| ended_by.since(ordered)),
-            lived: known.lived(held),
+            max_age: held.start_sent.map(|ordered| ended_by.since(ordered)),
+            min_age: known.min_run_age(held),
             window: since.map(|since| ended_by.since(since)),
         }
     });
@@ -218,30 +223,32 @@
 fn ended_by(known: &Executor, now: Time) -> Time {
     // One call may get an answer after another one did not.
     let heard = known.clock.map_or(Time::ZERO, |clock| clock.received);
-    known.looking.silent_since.filter(|since| *since >= heard).unwrap_or(now)
+    known.polling.silent_since.filter(|since| *since >= heard).unwrap_or(now)
 }
 
-fn cause(known: &Executor, ending: &Ending, runs: &[LostRun]) -> Cause {
-    match (ending, ending.fate()) {
-        (Ending::HostTaken, _) | (_, Some(HostFate::Ordered(_))) => Cause::Order,
-        _ if known.registration.draining => Cause::Drain,
-        (_, Some(HostFate::Removed(_))) => Cause::Removal,
-        _ if known.hearsay => Cause::Unknown,
+fn cause(known: &Executor, ending: &EndDetection, runs: &[LostRun]) -> EndCause {
+    match (ending, ending.host_outcome()) {
+        (EndDetection::HostOrderCompleted, _) | (_, Some(HostOutcome::Ordered(_))) => {
+            EndCause::Order
+        }
+        _ if known.registration.draining => EndCause::Drain,
+        (_, Some(HostOutcome::Removed(_))) => EndCause::Removal,
+        _ if known.known_from_ledger_only => EndCause::Unknown,
         // A registration outlives its executor, and may be read again after the crash was noted.
-        _ if known.clock.is_none() && runs.is_empty() => Cause::Unknown,
-        _ => Cause::Crash,
+        _ if known.clock.is_none() && runs.is_empty() => EndCause::Unknown,
+        _ => EndCause::Crash,
     }
 }
 
 impl Scheduler {
     /// Tells of each executor that crashed, and takes in what that says about its tasks.
-    pub(super) fn note_crashes(&mut self, now: Now) {
+    pub(super) fn process_crashes(&mut self, now: Now) {
         let ended = std::mem::take(&mut self.ended_executors);
         for executor in ended.iter().filter(|executor| executor.cause.may_hide_crash()) {
-            self.take_loss(now, executor);
+            self.note_unattributed_loss(now, executor);
         }
         let crashed: Vec<&EndedExecutor> =
-            ended.iter().filter(|executor| executor.cause == Cause::Crash).collect();
+            ended.iter().filter(|executor| executor.cause == EndCause::Crash).collect();
         let started_on = started_on(&crashed);
         for executor in &crashed {
             let others = crashed
@@ -251,7 +258,7 @@
             self.log("executor-crashed", &executor.executor, || {
                 format!("pool={} others={others} runs={}", executor.pool, list(&executor.runs))
             });
-            self.take_crash(now, executor, others, &started_on);
+            self.attribute_crash(now, executor, others, &started_on);
         }
     }
 }
@@ -260,7 +267,8 @@
 fn started_on(crashed: &[&EndedExecutor]) -> BTreeMap<JobName, usize> {
     let mut started_on: BTreeMap<JobName, usize> = BTreeMap::new();
     for executor in crashed {
-        let soon = executor.runs.iter().filter(|lost| lost.age.is_some_and(|a| a <= blame::SOON));
+        let soon =
+            executor.runs.iter().filter(|lost| lost.max_age.is_some_and(|a| a <= blame::SOON));
         let jobs: BTreeSet<&JobName> = soon.map(|lost| &lost.task.job).collect();
         for job in jobs {
             *started_on.entry(job.clone()).or_default() += 1;
@@ -271,7 +279,7 @@
 
 fn list(runs: &[LostRun]) -> String {
     let named = runs.iter().take(MOST_RUNS).map(|lost| {
-        let age = lost.age.map_or("?".to_owned(), |age| age.as_millis().to_string());
+        let age = lost.max_age.map_or("?".to_owned(), |age| age.as_millis().to_string());
         format!("{} run {} age_ms {age}", lost.task, lost.run)
     });
     let named: Vec<String> = named.collect();
--- a/crates/borageswitch_scheduler/src/reducer/emptying.rs
+++ b/crates/borageswitch_scheduler/src/reducer/emptying.rs
@@ -17,7 +17,7 @@
     event::Now,
     reducer::{
         Scheduler,
-        executors::{Executor, Held},
+        executors::{Executor, HeldRun},
         places::reserved,
     },
     task::{StepKey, TaskKey},
@@ -29,9 +29,9 @@
 
 impl Scheduler {
     pub(super) fn is_empty(&self, executor: &ExecutorName) -> bool {
-        self.executors
-            .get(executor)
-            .is_none_or(|known| known.runs.is_empty() && known.acknowledged >= known.taken_end)
+        self.executors.get(executor).is_none_or(|known| {
+            known.runs.is_empty() && known.acknowledged_end >= known.processed_end
+        })
     }
 
     /// Closes an executor and moves its lasting runs away as their steps allow.
@@ -41,7 +41,7 @@
     /// neighbours as well.
     pub(super) fn empty(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.emptying = true;
+        known.host_draining = true;
         let pool = known.registration.pool.clone();
         let lasting: Vec<TaskKey> =
             known.runs.iter().filter(|(_, h)| h.lasting).map(|(task, _)| task.clone()).collect();
@@ -107,7 +107,7 @@
         let mut room =
             self.rooms.of(pool).filter(|(name, free)| *name != executor && free.holds(&size));
         room.any(|(name, _)| {
-            let open = self.executors.get(name).is_some_and(|known| known.is_open(now.time));
+            let open = self.executors.get(name).is_some_and(|known| known.accepts_runs(now.time));
             open && self.may_run_on(now, &key, step, name, 0)
         })
     }
@@ -161,10 +161,10 @@
         let executor = assigned.and_then(|assigned| self.executors.get(&assigned.executor));
         let answers = |known: &&Executor| {
             let heard = known.clock.is_some_and(|clock| now.since(clock.received) < LAST_WORD);
-            heard && known.looking.failures == 0
+            heard && known.polling.failures == 0
         };
         let held = executor.filter(answers).and_then(|known| known.runs.get(task));
-        held.is_some_and(Held::is_at_work)
+        held.is_some_and(HeldRun::is_at_work)
             && assigned.is_some_and(|assigned| !taken.contains(&assigned.executor))
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -12,7 +12,12 @@
 
 impl Scheduler {
     /// Frees a task that certainly does not run on an executor and never will.
-    pub(super) fn release(&mut self, executor: &ExecutorName, task: &TaskKey, why: &'static str) {
+    pub(super) fn release_run(
+        &mut self,
+        executor: &ExecutorName,
+        task: &TaskKey,
+        why: &'static str,
+    ) {
         let Some(held) = self.executors.drop_run(executor, task) else { return };
         self.starting.over(task, held.run);
         let Some(known) = self.executors.get(executor) else { return };
@@ -28,7 +33,7 @@
     }
 
     /// Takes in the end of a run, whoever told of it.
-    pub(super) fn ended(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
+    pub(super) fn handle_run_end(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
         let Some(known) = self.executors.get(executor) else { return };
         self.starting.over(&ended.task, ended.run);
         let is_held = known.runs.get(&ended.task).is_some_and(|held| held.run == ended.run);
@@ -39,13 +44,13 @@
         }
         let pool = known.registration.pool.clone();
         match ended.how {
-            EndKind::Done => known.trust.succeeded(),
+            EndKind::Done => known.circuit_breaker.succeeded(),
             EndKind::Failed => self.note_failure(now, executor, &ended.task),
-            EndKind::Alone => self.note_alone(now, &ended.task),
+            EndKind::Alone => self.note_gang_incomplete(now, &ended.task),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken => {}
         }
         if let Some(held) = held.filter(|_| ended.how == EndKind::Done) {
-            self.learn(now, &ended.task, &held);
+            self.learn_duration(now, &ended.task, &held);
         }
         self.stirred.insert(pool);
         self.touched.insert(ended.task.job.clone());
@@ -82,8 +87,8 @@
             return;
         }
         if let Some(known) = self.executors.get_mut(executor) {
-            known.trust.failed(now.time);
-            if known.trust.is_doubted() {
+            known.circuit_breaker.failed(now.time);
+            if known.circuit_breaker.is_doubted() {
                 self.log("executor-distrusted", executor, || format!("after a failure of {task}"));
             }
         }
--- a/crates/borageswitch_scheduler/src/reducer/evict.rs
+++ b/crates/borageswitch_scheduler/src/reducer/evict.rs
@@ -14,7 +14,7 @@
     job::{Size, Step},
     reducer::{
         Scheduler,
-        executors::{Executor, Held, Phase},
+        executors::{Executor, HeldRun, Phase},
         places::reserved,
     },
     task::TaskKey,
@@ -30,7 +30,7 @@
         let suitable: Vec<(&ExecutorName, &Executor)> = self
             .executors
             .of_pool(pool)
-            .filter(|(_, known)| known.is_open(now.time))
+            .filter(|(_, known)| known.accepts_runs(now.time))
             .filter(|(executor, _)| self.may_run_on(now, &key, step, executor, 0))
             .collect();
         if suitable.iter().any(|(_, known)| room_to_come(known).holds(&size)) {
@@ -67,9 +67,9 @@
 /// first; nothing if not enough of them are there.
 fn victims(known: &Executor, size: &Size, now: Time) -> Option<Vec<(TaskKey, u64)>> {
     let loss =
-        |held: &Held| held.size.cpu_milli * now.since(held.started).as_millis() as u64 / 1_000;
+        |held: &HeldRun| held.size.cpu_milli * now.since(held.started).as_millis() as u64 / 1_000;
     let short = known.runs.iter().filter(|(_, h)| !h.lasting && h.phase == Phase::Active);
-    let mut short: Vec<(&TaskKey, &Held)> = short.collect();
+    let mut short: Vec<(&TaskKey, &HeldRun)> = short.collect();
     short.sort_by_key(|(_, held)| loss(held));
     let mut room = room_to_come(known);
     let mut victims = Vec::new();
--- a/crates/borageswitch_scheduler/src/reducer/executor_table.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executor_table.rs
@@ -13,7 +13,7 @@
     executor::Registration,
     life,
     policy::quotas::Usage,
-    reducer::executors::{Executor, Held},
+    reducer::executors::{Executor, HeldRun},
     task::TaskKey,
 };
 
@@ -23,11 +23,11 @@
     all: BTreeMap<ExecutorName, Executor>,
     by_pool: BTreeMap<PoolName, BTreeSet<ExecutorName>>,
     /// The latest known life of each executor whose lives are told apart, by its registered name.
-    lives: BTreeMap<ExecutorName, ExecutorName>,
+    latest_incarnations: BTreeMap<ExecutorName, ExecutorName>,
     /// What callers' runs use on all of them.
     usage: Usage,
     /// Where a job's tasks have runs, or may have.
-    holders: BTreeMap<JobName, BTreeSet<(ExecutorName, TaskKey)>>,
+    runs_by_job: BTreeMap<JobName, BTreeSet<(ExecutorName, TaskKey)>>,
     /// Executors that may look different since they were asked for last, each once.
     changed: Vec<ExecutorName>,
     /// Pools that executors have left since they were asked for last.
@@ -41,9 +41,9 @@
     }
 
     /// The latest known life of the executor that is registered under the same name as `executor`.
-    pub fn latest_life(&self, executor: &ExecutorName) -> Option<&ExecutorName> {
+    pub fn latest_incarnation(&self, executor: &ExecutorName) -> Option<&ExecutorName> {
         let registered = life::registered(executor);
-        let known = self.lives.get(registered);
+        let known = self.latest_incarnations.get(registered);
         known.or_else(|| self.all.get_key_value(registered).map(|(name, _)| name))
     }
 
@@ -51,8 +51,8 @@
     /// [`Self::confirm`], [`Self::drop_run`] and [`Self::register`] instead, which keep the indices.
     pub fn get_mut(&mut self, executor: &ExecutorName) -> Option<&mut Executor> {
         let known = self.all.get_mut(executor)?;
-        if !known.is_noted {
-            known.is_noted = true;
+        if !known.is_marked_changed {
+            known.is_marked_changed = true;
             self.changed.push(executor.clone());
         }
         Some(known)
@@ -96,7 +96,7 @@
 
     /// Where the runs of a job are, or may be.
     pub fn runs_of(&self, job: &JobName) -> impl Iterator<Item = &(ExecutorName, TaskKey)> {
-        self.holders.get(job).into_iter().flatten()
+        self.runs_by_job.get(job).into_iter().flatten()
     }
 
     /// What callers' runs use on all executors.
@@ -114,7 +114,7 @@
         let changed = std::mem::take(&mut self.changed);
         for executor in &changed {
             if let Some(known) = self.all.get_mut(executor) {
-                known.is_noted = false;
+                known.is_marked_changed = false;
             }
         }
         changed
@@ -126,7 +126,7 @@
     }
 
     /// Takes in how an executor is registered now.
-    pub fn register(&mut self, registration: Registration) -> Option<&mut Executor> {
+    pub fn update_registration(&mut self, registration: Registration) -> Option<&mut Executor> {
         let name = registration.executor.clone();
         let before = self.all.get(&name)?.registration.pool.clone();
         if before != registration.pool {
@@ -147,12 +147,12 @@
         self.by_pool.entry(pool).or_default().insert(name.clone());
         for (task, held) in &executor.runs {
             charge(&mut self.usage, held);
-            let holders = self.holders.entry(task.job.clone()).or_default();
+            let holders = self.runs_by_job.entry(task.job.clone()).or_default();
             holders.insert((name.clone(), task.clone()));
         }
-        executor.is_noted = true;
+        executor.is_marked_changed = true;
         self.changed.push(name.clone());
-        self.note_life(&name);
+        self.note_incarnation(&name);
         self.all.insert(name, executor);
     }
 
@@ -160,23 +160,23 @@
     pub fn remove(&mut self, executor: &ExecutorName) {
         let Some(known) = self.all.remove(executor) else { return };
         let registered = life::registered(executor);
-        if self.lives.get(registered) == Some(executor) {
-            self.lives.remove(registered);
+        if self.latest_incarnations.get(registered) == Some(executor) {
+            self.latest_incarnations.remove(registered);
         }
         self.leave_pool(&known.registration.pool, executor);
         for (task, held) in &known.runs {
             discharge(&mut self.usage, held);
-            self.forget_holder(executor, task);
+            self.forget_run(executor, task);
         }
     }
 
     /// An executor has a run of a task, or may have.
-    pub fn hold(&mut self, executor: &ExecutorName, task: &TaskKey, held: Held) {
+    pub fn insert_run(&mut self, executor: &ExecutorName, task: &TaskKey, held: HeldRun) {
         self.drop_run(executor, task);
         let Some(known) = self.all.get_mut(executor) else { return };
         charge(&mut self.usage, &held);
         known.add_run(task.clone(), held);
-        let holders = self.holders.entry(task.job.clone()).or_default();
+        let holders = self.runs_by_job.entry(task.job.clone()).or_default();
         holders.insert((executor.clone(), task.clone()));
     }
 
@@ -191,26 +191,27 @@
     }
 
     /// An executor has no run of a task any more.
-    pub fn drop_run(&mut self, executor: &ExecutorName, task: &TaskKey) -> Option<Held> {
+    pub fn drop_run(&mut self, executor: &ExecutorName, task: &TaskKey) -> Option<HeldRun> {
         let held = self.get_mut(executor)?.remove_run(task)?;
         discharge(&mut self.usage, &held);
-        self.forget_holder(executor, task);
+        self.forget_run(executor, task);
         Some(held)
     }
 
-    fn note_life(&mut self, executor: &ExecutorName) {
+    fn note_incarnation(&mut self, executor: &ExecutorName) {
         let Some(born) = life::born(executor) else { return };
-        let latest = self.latest_life(executor).and_then(life::born);
+        let latest = self.latest_incarnation(executor).and_then(life::born);
         if latest.is_none_or(|latest| latest <= born) {
-            self.lives.insert(ExecutorName::from(life::registered(executor)), executor.clone());
+            self.latest_incarnations
+                .insert(ExecutorName::from(life::registered(executor)), executor.clone());
         }
     }
 
-    fn forget_holder(&mut self, executor: &ExecutorName, task: &TaskKey) {
-        let Some(holders) = self.holders.get_mut(&task.job) else { return };
+    fn forget_run(&mut self, executor: &ExecutorName, task: &TaskKey) {
+        let Some(holders) = self.runs_by_job.get_mut(&task.job) else { return };
         holders.remove(&(executor.clone(), task.clone()));
         if holders.is_empty() {
-            self.holders.remove(&task.job);
+            self.runs_by_job.remove(&task.job);
         }
     }
 
@@ -224,13 +225,13 @@
     }
 }
 
-fn charge(usage: &mut Usage, held: &Held) {
+fn charge(usage: &mut Usage, held: &HeldRun) {
     if let Some(charge) = &held.charge {
         usage.add(charge, held.confirmed);
     }
 }
 
-fn discharge(usage: &mut Usage, held: &Held) {
+fn discharge(usage: &mut Usage, held: &HeldRun) {
     if let Some(charge) = &held.charge {
         usage.subtract(charge, held.confirmed);
     }
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -33,7 +33,7 @@
 
 /// A run that an executor has or may have.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct HeldRun {
     /// The run.
     pub run: u32,
     /// The room that it takes.
@@ -45,15 +45,15 @@
     /// Its job could not be on time any more when it was placed.
     pub late: bool,
     /// It uses what others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// The tail of response times that it must stay under.
     pub target_tail: Option<Duration>,
     /// What is known of it.
     pub phase: Phase,
     /// When that changed last.
-    pub since: Time,
+    pub phase_since: Time,
     /// When the order to start it left; nothing if an earlier leader gave it.
-    pub ordered: Option<Time>,
+    pub start_sent: Option<Time>,
     /// When the executor confirmed the start.
     pub started: Time,
     /// How far it is, as listed last.
@@ -62,16 +62,16 @@
     pub recent: u64,
     /// The share of its speed at which it works, in percent; nothing if an earlier leader may have
     /// changed it, or an order to change it got no answer.
-    pub pace: Option<u8>,
+    pub speed_limit: Option<u8>,
     /// The executor has confirmed or listed it.
     pub confirmed: bool,
     /// When an order to stop it left last.
     pub stop_sent: Option<Time>,
     /// When the order to stop it was answered: from then on the executor will not start it.
-    pub barred: Option<Time>,
+    pub stop_confirmed: Option<Time>,
 }
 
-impl Held {
+impl HeldRun {
     /// A run that takes no room and is nobody's, as of now in this phase.
     pub(super) fn new(run: u32, phase: Phase, now: Time) -> Self {
         Self {
@@ -80,32 +80,34 @@
             charge: None,
             lasting: false,
             late: false,
-            fills: false,
+            best_effort: false,
             target_tail: None,
             phase,
-            since: now,
-            ordered: None,
+            phase_since: now,
+            start_sent: None,
             started: now,
             percent: 0,
             recent: 0,
             // Whatever pace an earlier leader may have given is not known.
-            pace: (phase == Phase::Recorded).then_some(FULL_PACE),
+            speed_limit: (phase == Phase::Recorded).then_some(FULL_PACE),
             confirmed: false,
             stop_sent: None,
-            barred: None,
+            stop_confirmed: None,
         }
     }
 
     /// Whether a look that left at `sent` and did not list the run proves that it is not there and
     /// will not come.
-    pub fn is_over(&self, sent: Time) -> bool {
+    pub fn absence_proves_end(&self, sent: Time) -> bool {
         match self.phase {
             Phase::Recorded | Phase::Sent => false,
             // The executor has seen a newer token: it refuses whatever an earlier leader has sent.
             Phase::Inherited => true,
-            Phase::Active => self.since < sent,
-            Phase::Stopping if self.confirmed => self.since < sent,
-            Phase::Stopping | Phase::Unsure => self.barred.is_some_and(|barred| barred < sent),
+            Phase::Active => self.phase_since < sent,
+            Phase::Stopping if self.confirmed => self.phase_since < sent,
+            Phase::Stopping | Phase::Unsure => {
+                self.stop_confirmed.is_some_and(|barred| barred < sent)
+            }
         }
     }
 
@@ -114,12 +116,12 @@
     ///
     /// A confirmed start went to the life that confirmed it. A call that had ended while nobody was
     /// there came to nothing, and so has whatever an earlier leader had sent.
-    pub fn may_come_later(&self, away: Option<Time>) -> bool {
+    pub fn may_start_later(&self, away: Option<Time>) -> bool {
         match self.phase {
             Phase::Recorded | Phase::Active => false,
             Phase::Sent => true,
             Phase::Inherited => away.is_none(),
-            Phase::Unsure => away.is_none_or(|away| self.since >= away),
+            Phase::Unsure => away.is_none_or(|away| self.phase_since >= away),
             Phase::Stopping => !self.confirmed,
         }
     }
@@ -132,11 +134,11 @@
         };
         Self {
             phase,
-            since: now,
-            pace: None,
+            phase_since: now,
+            speed_limit: None,
             confirmed: false,
             stop_sent: None,
-            barred: None,
+            stop_confirmed: None,
             ..self.clone()
         }
     }
@@ -149,17 +151,17 @@
 
 /// How looking at an executor goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Looking {
+pub struct PollState {
     /// A look that may wait for an end is on its way.
-    pub waiting: bool,
+    pub long_poll_in_flight: bool,
     /// A look that is answered at once is on its way.
-    pub at_once: bool,
+    pub immediate_poll_in_flight: bool,
     /// Looks in a row that got no answer.
     pub failures: u32,
     /// No look before this time.
     pub not_before: Time,
     /// When the newest look that was answered had left.
-    pub answered: Option<Time>,
+    pub last_answered_sent: Option<Time>,
     /// Since when calls have got no answer.
     pub silent_since: Option<Time>,
 }
@@ -170,9 +172,9 @@
     /// How it is registered, or was last.
     pub registration: Registration,
     /// It is registered now.
-    pub present: bool,
+    pub is_registered: bool,
     /// It is known by an earlier leader's orders alone, and has never been registered since.
-    pub hearsay: bool,
+    pub known_from_ledger_only: bool,
     /// Its life is over. It is kept for runs that a later life under its name may yet start.
     pub ended: bool,
     /// Since when it is known.
@@ -183,37 +185,37 @@
     /// The newest reading of its clock.
     pub clock: Option<ClockReading>,
     /// The longest lease that any order carried, by its clock.
-    pub lease_ms: u64,
+    pub lease_until_ms: u64,
     /// The highest number of an end that was taken in.
-    pub taken_end: u64,
+    pub processed_end: u64,
     /// Ends up to this number are stored and may be acknowledged.
     pub stored_end: u64,
     /// Ends up to this number were acknowledged by a look that was answered.
-    pub acknowledged: u64,
+    pub acknowledged_end: u64,
     /// Until when runs that an earlier leader started may be there, while its clock is not known.
     pub inherited_until: Option<Time>,
     /// How looking at it goes.
-    pub looking: Looking,
+    pub polling: PollState,
     /// What it has or may have.
-    pub runs: BTreeMap<TaskKey, Held>,
+    pub runs: BTreeMap<TaskKey, HeldRun>,
     /// What it had when its lease ended. It may have crashed or have been cut off; nothing once it
     /// has answered again.
-    pub lapsed: Vec<LostRun>,
+    pub expired_runs: Vec<LostRun>,
     /// The room that these take together.
-    taken: Size,
+    used: Size,
     /// It stands in the table's list of those that have changed.
-    pub(super) is_noted: bool,
+    pub(super) is_marked_changed: bool,
     /// It runs something that nobody wants and whose size is not known: until that has ended,
     /// there may be less room than it seems, and an executor that guards nothing would be overfilled.
-    pub strays: bool,
+    pub has_orphan_runs: bool,
     /// Whether it deserves work.
-    pub trust: Trust,
+    pub circuit_breaker: Trust,
     /// It refused something for want of room: nothing new before this time.
     pub full_until: Time,
     /// A task under which executors crash has been started on it: nothing new before this time.
     pub isolated_until: Time,
     /// Its host is to be emptied: nothing new is placed on it.
-    pub emptying: bool,
+    pub host_draining: bool,
     /// Since when it has had nothing to run.
     pub idle_since: Time,
 }
@@ -223,27 +225,27 @@
     pub fn new(registration: Registration, now: Time) -> Self {
         Self {
             registration,
-            present: true,
-            hearsay: false,
+            is_registered: true,
+            known_from_ledger_only: false,
             ended: false,
             known_since: now,
             fenced: false,
             clock: None,
-            lease_ms: 0,
-            taken_end: 0,
+            lease_until_ms: 0,
+            processed_end: 0,
             stored_end: 0,
-            acknowledged: 0,
+            acknowledged_end: 0,
             inherited_until: None,
-            looking: Looking::default(),
+            polling: PollState::default(),
             runs: BTreeMap::new(),
-            lapsed: Vec::new(),
-            taken: Size::default(),
-            is_noted: false,
-            strays: false,
-            trust: Trust::default(),
+            expired_runs: Vec::new(),
+            used: Size::default(),
+            is_marked_changed: false,
+            has_orphan_runs: false,
+            circuit_breaker: Trust::default(),
             full_until: Time::ZERO,
             isolated_until: Time::ZERO,
-            emptying: false,
+            host_draining: false,
             idle_since: now,
         }
     }
@@ -257,75 +259,75 @@
     }
 
     /// The room that runs take or may take.
-    pub fn taken(&self) -> Size {
-        self.taken
+    pub fn used(&self) -> Size {
+        self.used
     }
 
     /// It has a run, or may have.
-    pub fn add_run(&mut self, task: TaskKey, held: Held) {
+    pub fn add_run(&mut self, task: TaskKey, held: HeldRun) {
         self.remove_run(&task);
-        self.taken += held.size;
+        self.used += held.size;
         self.runs.insert(task, held);
     }
 
     /// It has a run no more.
-    pub fn remove_run(&mut self, task: &TaskKey) -> Option<Held> {
+    pub fn remove_run(&mut self, task: &TaskKey) -> Option<HeldRun> {
         let held = self.runs.remove(task)?;
-        self.taken = self.taken.less(&held.size);
+        self.used = self.used.less(&held.size);
         Some(held)
     }
 
     /// The room that is left.
     pub fn free(&self) -> Size {
-        self.registration.capacity.less(&self.taken())
+        self.registration.capacity.less(&self.used())
     }
 
     /// The room that would be left without one of its runs.
-    pub fn free_without(&self, held: &Held) -> Size {
-        self.registration.capacity.less(&self.taken.less(&held.size))
+    pub fn free_without(&self, held: &HeldRun) -> Size {
+        self.registration.capacity.less(&self.used.less(&held.size))
     }
 
     /// For how long a run is known to have been there without a crash.
-    pub fn lived(&self, held: &Held) -> Duration {
+    pub fn min_run_age(&self, held: &HeldRun) -> Duration {
         let heard = self.clock.map(|clock| clock.received);
         let heard = heard.filter(|_| matches!(held.phase, Phase::Active | Phase::Stopping));
         heard.map_or(Duration::ZERO, |heard| heard.since(held.started))
     }
 
     /// Whether new runs may be placed on it.
-    pub fn is_open(&self, now: Time) -> bool {
-        self.takes_work(now)
+    pub fn accepts_runs(&self, now: Time) -> bool {
+        self.is_schedulable(now)
             && now >= self.full_until
             && now >= self.isolated_until
-            && self.looking.failures == 0
+            && self.polling.failures == 0
     }
 
     /// Whether new runs may be placed on it once there is room.
-    pub fn takes_work(&self, now: Time) -> bool {
-        self.present
+    pub fn is_schedulable(&self, now: Time) -> bool {
+        self.is_registered
             && self.fenced
             && !self.registration.draining
-            && !self.emptying
-            && !self.strays
-            && self.trust.allows(now)
+            && !self.host_draining
+            && !self.has_orphan_runs
+            && self.circuit_breaker.allows(now)
     }
 
     /// Whether the passing of time alone may open it again.
-    pub fn rests(&self, now: Time) -> bool {
-        now < self.full_until || now < self.isolated_until || self.trust.is_doubted()
+    pub fn recovers_with_time(&self, now: Time) -> bool {
+        now < self.full_until || now < self.isolated_until || self.circuit_breaker.is_doubted()
     }
 
     /// When the last lease that it may have has ended for certain.
-    pub fn lapse(&self) -> Option<Time> {
+    pub fn lease_expiry(&self) -> Option<Time> {
         match self.clock {
-            Some(clock) => Some(clock.latest(self.lease_ms)),
+            Some(clock) => Some(clock.latest(self.lease_until_ms)),
             None => self.inherited_until,
         }
     }
 
     /// Whether an answer to a call that left at `sent` shows that a later life gave it: the clock
     /// of each life begins anew.
-    pub fn is_other_life(&self, sent: Time, clock_ms: u64) -> bool {
+    pub fn is_other_incarnation(&self, sent: Time, clock_ms: u64) -> bool {
         let may_return = life::born(&self.registration.executor).is_some();
         may_return && self.clock.is_some_and(|clock| clock_ms < clock.earliest(sent))
     }
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -99,7 +99,7 @@
         let executors = self.executors.iter().map(|(name, known)| {
             let (runs, free) = (known.runs.len(), known.free().cpu_milli);
             let pool = &known.registration.pool;
-            let state = closed_because(known, now).unwrap_or("open");
+            let state = unschedulable_reason(known, now).unwrap_or("open");
             format!("{name}: pool={pool} state={state} runs={runs} free_cpu_milli={free}")
         });
         let withdrawals = self.fleet.withdrawals.iter().map(|(host, withdrawal)| {
@@ -210,7 +210,8 @@
             Some(format!("step {number}: task {index} is run {run} on {executor}"))
         });
         lines.extend(assigned.take(MOST_RUNS));
-        let held_back = |index: &u32| self.failed_starts.holds_back(now.time, &key.task(*index));
+        let held_back =
+            |index: &u32| self.failed_starts.is_backing_off(now.time, &key.task(*index));
         let held_back = (0..step.count).filter(held_back).count();
         if held_back > 0 {
             lines.push(format!("step {number}: {held_back} tasks wait after starts that failed"));
@@ -231,7 +232,7 @@
         let mut counts: BTreeMap<&'static str, usize> = BTreeMap::new();
         let members = self.executors.iter().filter(|(_, e)| e.registration.pool == *pool);
         for (executor, known) in members {
-            let why = match closed_because(known, now) {
+            let why = match unschedulable_reason(known, now) {
                 Some(why) => why,
                 None if !known.free().holds(&size) => "without room",
                 None if !fits_labels(step, known) => "without the label",
@@ -281,7 +282,7 @@
             lines.push(format!("its executor {executor} is not registered"));
             return lines;
         };
-        let state = closed_because(known, now).unwrap_or("open");
+        let state = unschedulable_reason(known, now).unwrap_or("open");
         lines.push(format!("executor {executor} is {state}, {} runs", known.runs.len()));
         let runs = known.runs.iter();
         lines.extend(runs.map(|(task, held)| format!("{task} run {}: {:?}", held.run, held.phase)));
@@ -305,23 +306,23 @@
 }
 
 /// Why nothing new is placed on an executor, if that is so.
-fn closed_because(known: &Executor, now: Now) -> Option<&'static str> {
-    if known.is_open(now.time) {
+fn unschedulable_reason(known: &Executor, now: Now) -> Option<&'static str> {
+    if known.accepts_runs(now.time) {
         return None;
     }
-    Some(if !known.present {
+    Some(if !known.is_registered {
         "not registered"
     } else if known.registration.draining {
         "draining"
-    } else if known.emptying {
+    } else if known.host_draining {
         "being emptied"
-    } else if known.looking.failures > 0 {
+    } else if known.polling.failures > 0 {
         "silent"
     } else if !known.fenced {
         "not looked at yet"
     } else if now.time < known.isolated_until {
         "left alone with a task under which executors crash"
-    } else if known.strays {
+    } else if known.has_orphan_runs {
         "running what nobody wants"
     } else if now.time < known.full_until {
         "full by its own account"
--- a/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
@@ -13,34 +13,34 @@
 };
 
 #[derive(Clone, Copy, Debug)]
-struct Failed {
-    in_a_row: u32,
+struct Backoff {
+    failures: u32,
     not_before: Time,
 }
 
 /// The starts that have come to nothing, by task, since one was confirmed.
 #[derive(Debug, Default)]
 pub struct FailedStarts {
-    by_task: BTreeMap<TaskKey, Failed>,
+    by_task: BTreeMap<TaskKey, Backoff>,
 }
 
 impl FailedStarts {
     fn note(&mut self, now: Time, task: &TaskKey) {
-        let none = Failed { in_a_row: 0, not_before: now };
+        let none = Backoff { failures: 0, not_before: now };
         let failed = self.by_task.entry(task.clone()).or_insert(none);
-        failed.in_a_row += 1;
-        failed.not_before = now + start_pauses::pause(failed.in_a_row);
+        failed.failures += 1;
+        failed.not_before = now + start_pauses::pause(failed.failures);
     }
 
     /// Whether a task is not to be started yet.
-    pub(super) fn holds_back(&self, now: Time, task: &TaskKey) -> bool {
+    pub(super) fn is_backing_off(&self, now: Time, task: &TaskKey) -> bool {
         self.by_task.get(task).is_some_and(|failed| now < failed.not_before)
     }
 
     /// Whether a member of a gang is not to be started yet, and so none of them.
-    pub(super) fn holds_back_gang(&self, now: Time, step: &WaitingStep) -> bool {
+    pub(super) fn is_gang_backing_off(&self, now: Time, step: &WaitingStep) -> bool {
         let mut members = step.waiting.iter().map(|&index| step.key.task(index));
-        !self.by_task.is_empty() && members.any(|member| self.holds_back(now, &member))
+        !self.by_task.is_empty() && members.any(|member| self.is_backing_off(now, &member))
     }
 
     /// A run of a task is known to be there.
@@ -51,7 +51,7 @@
 
 impl Scheduler {
     /// Takes in what came of a start.
-    pub(super) fn note_start(&mut self, now: Now, task: &TaskKey, answer: StartAnswer) {
+    pub(super) fn note_start_response(&mut self, now: Now, task: &TaskKey, answer: StartAnswer) {
         match answer {
             StartAnswer::Started => self.failed_starts.confirmed(task),
             // The leader or the executor is over; the task has nothing to do with it.
@@ -68,7 +68,7 @@
     }
 
     /// A member of a gang has ended because the others did not come.
-    pub(super) fn note_alone(&mut self, now: Now, task: &TaskKey) {
+    pub(super) fn note_gang_incomplete(&mut self, now: Now, task: &TaskKey) {
         self.failed_starts.note(now.time, task);
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/host_list.rs
+++ b/crates/borageswitch_scheduler/src/reducer/host_list.rs
@@ -18,7 +18,7 @@
     life,
     reducer::{
         Scheduler,
-        crashes::{Ending, HostFate},
+        crashes::{EndDetection, HostOutcome},
         hosts::Withdrawal,
     },
 };
@@ -102,15 +102,15 @@
     }
 
     /// What has become of the host of an executor that is listed no more, or has started again.
-    pub(super) fn fate_of(&self, executor: &ExecutorName) -> HostFate {
-        let Some(host) = self.host_of(executor).cloned() else { return HostFate::Unknown };
+    pub(super) fn fate_of(&self, executor: &ExecutorName) -> HostOutcome {
+        let Some(host) = self.host_of(executor).cloned() else { return HostOutcome::Unknown };
         if self.withdrawals.get(&host).is_some_and(Withdrawal::is_under_way) {
-            return HostFate::Ordered(host);
+            return HostOutcome::Ordered(host);
         }
         match self.hosts.get(&host).map(|entry| entry.state) {
-            Some(HostState::Moving | HostState::InMaintenance) => HostFate::Ordered(host),
-            Some(state @ (HostState::Up | HostState::Down)) => HostFate::Stays(host, state),
-            None => HostFate::Removed(host),
+            Some(HostState::Moving | HostState::InMaintenance) => HostOutcome::Ordered(host),
+            Some(state @ (HostState::Up | HostState::Down)) => HostOutcome::Listed(host, state),
+            None => HostOutcome::Removed(host),
         }
     }
 
@@ -151,7 +151,8 @@
         };
         self.fleet.take_list(asked, hosts);
         for entry in self.fleet.hosts.values_mut() {
-            let life = entry.executor.as_ref().and_then(|name| self.executors.latest_life(name));
+            let life =
+                entry.executor.as_ref().and_then(|name| self.executors.latest_incarnation(name));
             if let Some(life) = life {
                 entry.executor = Some(life.clone());
             }
@@ -173,7 +174,11 @@
             .collect();
         for executor in over {
             let fate = self.fleet.fate_of(&executor);
-            self.life_over(now, &executor, Ending::Unlisted { asked, fate });
+            self.end_incarnation(
+                now,
+                &executor,
+                EndDetection::Unlisted { listed_at: asked, host: fate },
+            );
         }
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -15,7 +15,7 @@
     event::{HostAnswer, Now},
     fleet::{HostEntry, HostState},
     ledger::record::Record,
-    reducer::{Scheduler, crashes::Ending},
+    reducer::{Scheduler, crashes::EndDetection},
 };
 
 /// How long after an order without an answer, or one that was refused for the moment, it is given
@@ -88,7 +88,7 @@
         self.list_hosts(now);
         self.note_away(now);
         self.step_waves(now);
-        self.step_lending(now);
+        self.lend_hosts(now);
         let hosts: Vec<HostName> = self.fleet.withdrawals.keys().cloned().collect();
         for host in hosts {
             self.step_host(now, &host);
@@ -240,7 +240,7 @@
                 // Not whichever executor the host has now: after an answer that was lost, that is
                 // the one that came with the order. Taken for ended, its tasks would run twice.
                 if let Some(executor) = emptied {
-                    self.life_over(now, &executor, Ending::HostTaken);
+                    self.end_incarnation(now, &executor, EndDetection::HostOrderCompleted);
                 }
             }
             HostAnswer::Lost | HostAnswer::TooMany => {
@@ -269,7 +269,7 @@
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         let known = executor.and_then(|executor| self.executors.get_mut(&executor));
         if let Some(known) = known {
-            known.emptying = false;
+            known.host_draining = false;
         }
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -18,7 +18,7 @@
         record::{Leftover, Outcome, Record},
     },
     policy::{order::JobView, shares::JobRate},
-    reducer::{Scheduler, executors::Held},
+    reducer::{Scheduler, executors::HeldRun},
     task::TaskKey,
 };
 
@@ -29,7 +29,7 @@
 
 /// What of a job's queue counts for it, and when it is due.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobTimes {
+pub struct JobState {
     /// The pool that runs its tasks.
     pub pool: PoolName,
     /// 0 comes first.
@@ -50,7 +50,7 @@
     pub beyond_share: bool,
 }
 
-impl JobTimes {
+impl JobState {
     fn new(queue: &Queue, accepted: Time) -> Self {
         Self {
             pool: queue.pool.clone(),
@@ -77,7 +77,7 @@
         if !self.ledger.submit(submission.clone()) {
             return;
         }
-        self.note_times(now, &submission);
+        self.init_job_state(now, &submission);
         self.note_share(now, &submission);
         self.waiting.note(&job);
         if let Some(pool) = self.pool_of(&job).cloned() {
@@ -117,18 +117,18 @@
     }
 
     /// Works out when a job is due, from its queue as it stands now.
-    pub(super) fn note_times(&mut self, now: Now, submission: &Submission) {
+    pub(super) fn init_job_state(&mut self, now: Now, submission: &Submission) {
         let age = Duration::from_millis(now.wall.0.saturating_sub(submission.accepted.0));
         let accepted =
             Time::from_micros(now.time.as_micros().saturating_sub(age.as_micros() as u64));
         let configured =
             self.config.as_ref().and_then(|config| config.queues.get(&submission.queue.name));
         let queue = configured.unwrap_or(&submission.queue);
-        self.times.insert(submission.job.clone(), JobTimes::new(queue, accepted));
+        self.times.insert(submission.job.clone(), JobState::new(queue, accepted));
     }
 
     /// Gives jobs what the configuration in force says of their queue.
-    pub(super) fn renew_times(&mut self, now: Now) {
+    pub(super) fn refresh_job_states(&mut self, now: Now) {
         let Some(config) = self.config.clone() else { return };
         let mut unknown = Vec::new();
         for (name, job) in &self.ledger.jobs {
@@ -136,16 +136,16 @@
             match self.times.get_mut(name) {
                 Some(times) => {
                     let Some(queue) = queue else { continue };
-                    let fresh = JobTimes::new(queue, times.accepted);
+                    let fresh = JobState::new(queue, times.accepted);
                     let failed_on = times.failed_on.take();
-                    let JobTimes { begun, beyond_share, .. } = *times;
-                    *times = JobTimes { failed_on, begun, beyond_share, ..fresh };
+                    let JobState { begun, beyond_share, .. } = *times;
+                    *times = JobState { failed_on, begun, beyond_share, ..fresh };
                 }
                 None => unknown.push(job.submission.clone()),
             }
         }
         for submission in unknown {
-            self.note_times(now, &submission);
+            self.init_job_state(now, &submission);
         }
         for job in self.ledger.jobs.keys() {
             self.waiting.note(job);
@@ -207,7 +207,7 @@
     }
 
     /// Begins occurrences of timed jobs that are due.
-    pub(super) fn begin_due(&mut self, now: Now) {
+    pub(super) fn begin_due_occurrences(&mut self, now: Now) {
         let mut due = Vec::new();
         for (name, job) in &self.ledger.jobs {
             let Some(schedule) = job.submission.spec.schedule else { continue };
@@ -236,7 +236,7 @@
         }
     }
 
-    pub(super) fn learn(&mut self, now: Now, task: &TaskKey, held: &Held) {
+    pub(super) fn learn_duration(&mut self, now: Now, task: &TaskKey, held: &HeldRun) {
         let Some(job) = self.ledger.jobs.get(&task.job) else { return };
         let Some(step) = job.step(task.step) else { return };
         let declared = step.estimate;
@@ -245,7 +245,7 @@
     }
 
     /// What the order of jobs depends on.
-    pub(super) fn view_of(&self, job: &Job, times: &JobTimes, occurrence: u32) -> JobView {
+    pub(super) fn view_of(&self, job: &Job, times: &JobState, occurrence: u32) -> JobView {
         let spec = &job.submission.spec;
         let queue = &job.submission.queue.name;
         let expect = |declared| self.learned.expect(queue, declared);
--- a/crates/borageswitch_scheduler/src/reducer/kept_room.rs
+++ b/crates/borageswitch_scheduler/src/reducer/kept_room.rs
@@ -22,7 +22,7 @@
     },
     reducer::{
         Scheduler,
-        executors::{Executor, Held},
+        executors::{Executor, HeldRun},
         places::{fits_labels, reserved},
         rooms::Room,
         waiting::Order,
@@ -87,7 +87,7 @@
         let Some(kept) = self.kept_room.kept.get(pool) else { return };
         let waits = order.values().any(|step| step.key == kept.step);
         let usable = |executor: &ExecutorName| {
-            self.executors.get(executor).is_some_and(|known| known.takes_work(now.time))
+            self.executors.get(executor).is_some_and(|known| known.is_schedulable(now.time))
         };
         let over = now.time.since(kept.since) >= gangs::KEPT_FOR;
         if over {
@@ -196,10 +196,9 @@
         step: &Step,
     ) -> Vec<Candidate<ExecutorName>> {
         let size = reserved(step);
-        let of_pool = self
-            .executors
-            .iter()
-            .filter(|(_, known)| known.registration.pool == *pool && known.takes_work(now.time));
+        let of_pool = self.executors.iter().filter(|(_, known)| {
+            known.registration.pool == *pool && known.is_schedulable(now.time)
+        });
         let suitable = of_pool.filter(|(name, _)| self.may_run_on(now, key, step, name, 0));
         let candidates = suitable.map(|(name, known)| Candidate {
             id: name.clone(),
@@ -220,7 +219,7 @@
     }
 
     /// How long a run will go on: by its progress, or by what such runs take.
-    fn left_of(&self, now: Now, task: &TaskKey, held: &Held) -> Duration {
+    fn left_of(&self, now: Now, task: &TaskKey, held: &HeldRun) -> Duration {
         let elapsed = now.time.since(held.started);
         if held.percent > 0 {
             let whole = elapsed.mul_f64(100.0 / f64::from(held.percent));
--- a/crates/borageswitch_scheduler/src/reducer/lasting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lasting.rs
@@ -78,7 +78,7 @@
         if comes || entry.pool != *pool {
             return Some(Room { labels, free: entry.capacity, tasks: BTreeMap::new() });
         }
-        let known = self.executor_on(entry).filter(|known| known.present)?;
+        let known = self.executor_on(entry).filter(|known| known.is_registered)?;
         if known.registration.draining {
             return None;
         }
--- a/crates/borageswitch_scheduler/src/reducer/lapses.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
@@ -12,28 +12,28 @@
     life,
     reducer::{
         Scheduler,
-        crashes::{EndedExecutor, Ending, lost_runs},
-        executors::{Held, Phase},
+        crashes::{EndDetection, EndedExecutor, lost_runs},
+        executors::{HeldRun, Phase},
     },
     task::TaskKey,
 };
 
 impl Scheduler {
     /// Frees the tasks of executors whose lease has ended for certain.
-    pub(super) fn release_lapsed(&mut self, now: Now) {
+    pub(super) fn release_expired(&mut self, now: Now) {
         let lapsed: Vec<ExecutorName> = self
             .executors
             .iter()
             .filter(|(_, known)| !known.runs.is_empty())
-            .filter(|(_, known)| known.lapse().is_some_and(|lapse| lapse < now.time))
+            .filter(|(_, known)| known.lease_expiry().is_some_and(|lapse| lapse < now.time))
             .map(|(executor, _)| executor.clone())
             .collect();
         for executor in lapsed {
-            self.release_sent(now, &executor);
+            self.release_expired_runs(now, &executor);
         }
     }
 
-    fn release_sent(&mut self, now: Now, executor: &ExecutorName) {
+    fn release_expired_runs(&mut self, now: Now, executor: &ExecutorName) {
         let seen_up = self.fleet.seen_up(executor);
         let Some(known) = self.executors.get_mut(executor) else { return };
         let tasks: Vec<TaskKey> = known
@@ -48,10 +48,10 @@
         // What it runs must be looked up before it is used again.
         known.fenced = false;
         let lost = lost_runs(known, seen_up, now.time);
-        known.lapsed.extend(lost);
+        known.expired_runs.extend(lost);
         self.log("lease-ended", executor, || format!("runs={}", tasks.len()));
         for task in tasks {
-            self.release(executor, &task, "lease ended");
+            self.release_run(executor, &task, "lease ended");
         }
     }
 
@@ -60,28 +60,33 @@
     /// Where it may start again under its name, an order that is still on its way may be carried
     /// out by its next life. Such runs are kept until that one is known or their lease has ended;
     /// started elsewhere before, they would run twice.
-    pub(super) fn life_over(&mut self, now: Now, executor: &ExecutorName, ending: Ending) {
-        let (why, away) = (ending.why(), ending.away());
-        self.note_end(now, executor, ending);
+    pub(super) fn end_incarnation(
+        &mut self,
+        now: Now,
+        executor: &ExecutorName,
+        ending: EndDetection,
+    ) {
+        let (why, away) = (ending.why(), ending.absent_at());
+        self.note_executor_end(now, executor, ending);
         let Some(known) = self.executors.get(executor) else { return };
         let may_return = life::born(executor).is_some();
-        let over = known.runs.iter().filter(|(_, h)| !may_return || !h.may_come_later(away));
+        let over = known.runs.iter().filter(|(_, h)| !may_return || !h.may_start_later(away));
         let over: Vec<TaskKey> = over.map(|(task, _)| task.clone()).collect();
         for task in over {
-            self.release(executor, &task, why);
+            self.release_run(executor, &task, why);
         }
         if self.executors.get(executor).is_some_and(|known| known.runs.is_empty()) {
             self.executors.remove(executor);
-            self.forget_ends(executor);
+            self.forget_processed_ends(executor);
         }
     }
 
     /// Notes once how an executor's life has ended, and what it ran.
-    fn note_end(&mut self, now: Now, executor: &ExecutorName, ending: Ending) {
+    fn note_executor_end(&mut self, now: Now, executor: &ExecutorName, ending: EndDetection) {
         let seen_up = self.fleet.seen_up(executor);
         let known = self.executors.get_mut(executor).filter(|known| !known.ended);
         let Some(known) = known else { return };
-        known.present = false;
+        known.is_registered = false;
         known.ended = true;
         let ended = EndedExecutor::new(known, ending, seen_up, now.time);
         self.log("executor-ended", executor, || ended.to_string());
@@ -92,11 +97,11 @@
     /// are looked for there, all others of the earlier one are over.
     pub(super) fn carry_over(&mut self, now: Now, before: &ExecutorName, next: &ExecutorName) {
         let fate = self.fleet.fate_of(before);
-        self.note_end(now, before, Ending::Restarted(fate.clone()));
+        self.note_executor_end(now, before, EndDetection::Restarted(fate.clone()));
         let Some(known) = self.executors.get(before) else { return };
         let inherited_until = known.inherited_until;
-        let runs = known.runs.iter().filter(|(_, held)| held.may_come_later(None));
-        let runs: Vec<(TaskKey, Held)> =
+        let runs = known.runs.iter().filter(|(_, held)| held.may_start_later(None));
+        let runs: Vec<(TaskKey, HeldRun)> =
             runs.map(|(task, held)| (task.clone(), held.carried_over(now.time))).collect();
         if let Some(later) = self.executors.get_mut(next).filter(|_| !runs.is_empty()) {
             let lease = now.time + self.limits.inherited_lease;
@@ -105,7 +110,7 @@
         for (task, held) in runs {
             self.carry_run(now, before, next, &task, held);
         }
-        self.life_over(now, before, Ending::Restarted(fate));
+        self.end_incarnation(now, before, EndDetection::Restarted(fate));
     }
 
     fn carry_run(
@@ -114,12 +119,12 @@
         before: &ExecutorName,
         next: &ExecutorName,
         task: &TaskKey,
-        held: Held,
+        held: HeldRun,
     ) {
         let run = held.run;
         let stops = held.phase == Phase::Stopping;
         self.executors.drop_run(before, task);
-        self.executors.hold(next, task, held);
+        self.executors.insert_run(next, task, held);
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
         if assigned.is_some_and(|assigned| assigned.run == run && assigned.executor == *before) {
             let executor = next.clone();
@@ -135,21 +140,23 @@
         let gone: Vec<(ExecutorName, bool)> = self
             .executors
             .iter()
-            .filter(|(_, known)| !known.present && known.runs.is_empty())
-            .filter(|(_, known)| known.ended || known.acknowledged >= known.taken_end)
-            .map(|(executor, known)| (executor.clone(), !known.ended && !known.lapsed.is_empty()))
+            .filter(|(_, known)| !known.is_registered && known.runs.is_empty())
+            .filter(|(_, known)| known.ended || known.acknowledged_end >= known.processed_end)
+            .map(|(executor, known)| {
+                (executor.clone(), !known.ended && !known.expired_runs.is_empty())
+            })
             .collect();
         for (executor, lapsed) in gone {
             if lapsed {
-                self.life_over(now, &executor, Ending::Expired);
+                self.end_incarnation(now, &executor, EndDetection::Expired);
                 continue;
             }
             self.executors.remove(&executor);
-            self.forget_ends(&executor);
+            self.forget_processed_ends(&executor);
         }
     }
 
-    fn forget_ends(&mut self, executor: &ExecutorName) {
+    fn forget_processed_ends(&mut self, executor: &ExecutorName) {
         if self.ledger.seen.contains_key(executor) {
             self.record(Record::ExecutorGone { executor: executor.clone() });
         }
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -33,7 +33,7 @@
     /// What pools have needed of late.
     peaks: BTreeMap<PoolName, Peak>,
     /// When the first short work came.
-    first_work: Option<Time>,
+    first_short_work: Option<Time>,
     /// The calls about hosts that may leave.
     budget: Option<CallBudget>,
     /// Kinds of hosts that cannot be in a pool.
@@ -46,7 +46,7 @@
     whole: Need,
     labelled: BTreeMap<Arc<str>, Need>,
     data_racks: BTreeSet<Arc<str>>,
-    fills: bool,
+    best_effort: bool,
     serves: bool,
 }
 
@@ -70,7 +70,7 @@
         if let Some(rack) = step.data_rack.as_ref().filter(|_| waiting > 0) {
             self.data_racks.insert(Arc::from(rack.as_str()));
         }
-        self.fills |= step.fills;
+        self.best_effort |= step.fills;
         self.serves |= step.target_tail.is_some() && !step.fills;
     }
 }
@@ -103,9 +103,9 @@
             work += f64::from(step.count) * cores * each.as_secs_f64();
             takes += each;
         }
-        let spread = takes.min(peaks::horizon(self.all_moved(), self.limits.host_move));
+        let spread = takes.min(peaks::horizon(self.fleet_move_time(), self.limits.host_move));
         self.lending.arrivals.entry(pool.clone()).or_default().arrived(now.time, work, spread);
-        self.lending.first_work.get_or_insert(now.time);
+        self.lending.first_short_work.get_or_insert(now.time);
     }
 
     /// Whether an order for a host may leave now; if so, its call is taken out of the budget.
@@ -119,21 +119,21 @@
     }
 
     /// How long the platform would take to move every host once.
-    fn all_moved(&self) -> Duration {
+    fn fleet_move_time(&self) -> Duration {
         let hosts = self.fleet.hosts.len() as f64;
         Duration::from_secs_f64(hosts / self.limits.host_calls_per_s)
     }
 
     /// Notes what pools need, and says how many of their hosts stay on.
-    fn keep_on(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
-        let all_moved = self.all_moved();
+    fn update_retained_hosts(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
+        let all_moved = self.fleet_move_time();
         let horizon = peaks::horizon(all_moved, self.limits.host_move);
         for load in loads.iter().filter(|load| !load.standby) {
             let peak = self.lending.peaks.entry(load.pool.clone()).or_default();
             peak.note(now.time, load.need.hosts(&load.host), horizon);
         }
         let largest = self.lending.largest_peak();
-        let begun = self.lending.first_work;
+        let begun = self.lending.first_short_work;
         let unseen = begun.is_none_or(|first| now.time.since(first) < horizon);
         let led = now.time.since(self.began);
         for load in loads {
@@ -151,12 +151,12 @@
     }
 
     /// Moves hosts to where the work is.
-    pub(super) fn step_lending(&mut self, now: Now) {
+    pub(super) fn lend_hosts(&mut self, now: Now) {
         if self.fleet.listed.is_none_or(|listed| listed < self.began) {
             return;
         }
         let mut loads = self.pool_loads(now);
-        self.keep_on(now, &mut loads);
+        self.update_retained_hosts(now, &mut loads);
         let spare_calls = self.call_budget(now.time).spare(now.time);
         // Busy hosts are lent only for a label that is short.
         if loads.iter().any(PoolLoad::lacks_label) {
@@ -195,7 +195,7 @@
                         hosts += 1;
                         // Full hosts are of no help to what waits for the label.
                         need.demand +=
-                            self.executor_on(entry).map_or(Size::default(), Executor::taken);
+                            self.executor_on(entry).map_or(Size::default(), Executor::used);
                     }
                     LabelNeed { label, need, waiting, hosts }
                 });
@@ -224,7 +224,7 @@
     fn needs(&self) -> BTreeMap<PoolName, PoolNeeds> {
         let mut needs: BTreeMap<PoolName, PoolNeeds> = BTreeMap::new();
         for known in self.executors.values() {
-            needs.entry(known.registration.pool.clone()).or_default().whole.demand += known.taken();
+            needs.entry(known.registration.pool.clone()).or_default().whole.demand += known.used();
         }
         // Hosts that are fetched for tasks whose callers are at their quota would stand idle.
         let mut dealing = self.dealing();
@@ -237,7 +237,7 @@
         }
         for pool in needs.values_mut() {
             // One host more keeps tasks that fill gaps away from tasks that serve.
-            pool.whole.apart += usize::from(pool.fills && pool.serves);
+            pool.whole.apart += usize::from(pool.best_effort && pool.serves);
         }
         needs
     }
@@ -275,7 +275,7 @@
                 Duration::ZERO
             } else {
                 let known = self.executors.get(entry.executor.as_ref()?)?;
-                if !known.present || !known.fenced || !known.runs.is_empty() {
+                if !known.is_registered || !known.fenced || !known.runs.is_empty() {
                     return None;
                 }
                 if self.waits_for_gang(&entry.pool, entry.executor.as_ref()?) {
@@ -292,7 +292,7 @@
     fn busy_hosts(&self, now: Time, pool: &PoolName) -> Vec<IdleHost<HostName>> {
         let in_pool = self.fleet.hosts.values().filter(|entry| entry.pool == *pool);
         let busy = in_pool.filter(|entry| {
-            let known = self.executor_on(entry).filter(|known| known.present && known.fenced);
+            let known = self.executor_on(entry).filter(|known| known.is_registered && known.fenced);
             let only_short = known.is_some_and(|known| {
                 !known.runs.is_empty() && known.runs.values().all(|held| !held.lasting)
             });
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -8,14 +8,14 @@
 //! - [`executor_table`]: all executors by pool and by job; [`executors`]: what is believed of each, [`clock`] when its lease ends.
 //! - [`outbox`]: what waits until its records are stored.
 //! - [`jobs`]: jobs come, are cancelled, come due and end.
-//! - [`looks`]: executors are looked at, and what they say is compared with what is believed.
+//! - [`polls`]: executors are looked at, and what they say is compared with what is believed.
 //! - [`ends`]: runs end, or are known never to have begun.
 //! - [`starts`]: answers to starts and stops; [`failed_starts`] are not repeated at once for ever, and
 //!   [`starting`] bounds those on their way.
 //! - [`crashes`]: executors that ended, and which of them crashed.
 //! - [`suspects`]: tasks under which executors have crashed.
 //! - [`stragglers`]: runs that fall far behind are given up.
-//! - [`lapses`]: runs on executors that cannot be reached.
+//! - [`lease_expiry`]: runs on executors that cannot be reached.
 //! - [`waiting`]: which steps wait, most urgent first; [`rooms`]: what executors have left.
 //! - [`pass`]: waiting tasks find hosts, among the [`places`] that suit them; [`gangs`] find them together; [`advice`] asks where a
 //!   step may run; [`kept_room`] keeps room for gangs; [`evict`] makes room for lasting tasks.
@@ -43,14 +43,14 @@
 pub mod hosts;
 pub mod jobs;
 pub mod kept_room;
-pub mod lapses;
 pub mod lasting;
+pub mod lease_expiry;
 pub mod lending;
-pub mod looks;
 pub mod outbox;
 pub mod pace;
 pub mod pass;
 pub mod places;
+pub mod polls;
 pub mod quotas;
 pub mod recovery;
 pub mod registrations;
@@ -82,7 +82,7 @@
     policy::{learned::Learned, shares::JobRate},
     reducer::{
         advice::Advice, crashes::EndedExecutor, executor_table::ExecutorTable,
-        failed_starts::FailedStarts, host_list::Fleet, jobs::JobTimes, kept_room::KeptRoom,
+        failed_starts::FailedStarts, host_list::Fleet, jobs::JobState, kept_room::KeptRoom,
         lending::Lending, outbox::Outbox, rooms::Rooms, starting::Starting, stragglers::Stragglers,
         suspects::Suspects, waiting::Waiting, waves::Waves,
     },
@@ -145,7 +145,7 @@
     /// Hosts that an earlier leader has ordered about of late, and how long ago at least when this
     /// one took over.
     inherited_orders: BTreeMap<HostName, Duration>,
-    times: BTreeMap<JobName, JobTimes>,
+    times: BTreeMap<JobName, JobState>,
     learned: Learned,
     outbox: Outbox,
     advice: Advice,
@@ -185,8 +185,8 @@
             Event::Submitted(submission) => self.submit(now, submission),
             Event::Cancelled(job) => self.cancel(now, &job),
             Event::Configured(config) => self.configure(now, config),
-            Event::Executor(seen) => self.registration(now, seen),
-            Event::Executors(all) => self.registrations(now, all),
+            Event::Executor(seen) => self.handle_registration(now, seen),
+            Event::Executors(all) => self.handle_registration_list(now, all),
             Event::Appended { append } => self.appended(now, append),
             Event::StartAnswered { executor, task, run, sent, clock_ms, answer } => {
                 self.start_answered(now, &executor, &task, run, sent, clock_ms, answer);
@@ -195,13 +195,13 @@
                 self.stop_answered(now, &executor, &task, run, answer);
             }
             Event::Looked { executor, sent, order, answer } => {
-                self.looked(now, &executor, sent, order, answer);
+                self.handle_poll_response(now, &executor, sent, order, answer);
             }
             Event::PaceAnswered { executor, task, answer } => {
                 self.pace_answered(&executor, &task, answer);
             }
             Event::Advised { step, sent, asked, allowed } => {
-                self.advised(now, sent, &step, &asked, allowed);
+                self.handle_advice(now, sent, &step, &asked, allowed);
             }
             Event::Hosts(hosts) => self.listed(now, hosts),
             Event::HostAnswered { host, answer } => self.host_answered(now, &host, answer),
@@ -222,7 +222,7 @@
             self.last_slow_sweep = now.time;
             self.sweep_runs(now);
         }
-        self.note_crashes(now);
+        self.process_crashes(now);
         self.finish_jobs(now);
         self.renew_rooms(now, sweep);
         self.renew_waiting(now, sweep);
@@ -232,15 +232,15 @@
             // away again past the tasks that wait for it.
             self.step_fleet(now);
         }
-        self.look_around(now, sweep);
+        self.send_polls(now, sweep);
         self.flush(now);
         std::mem::take(&mut self.effects)
     }
 
     /// Looks through what no event reports.
     fn sweep(&mut self, now: Now) {
-        self.release_lapsed(now);
-        self.begin_due(now);
+        self.release_expired(now);
+        self.begin_due_occurrences(now);
         self.stirred.extend(self.executors.pools().cloned());
         self.forget_executors(now);
     }
@@ -263,7 +263,7 @@
         self.stirred.extend(config.pools.keys().cloned());
         self.tell_callers(&config);
         self.config = Some(config);
-        self.renew_times(now);
+        self.refresh_job_states(now);
     }
 
     /// Changes the ledger and has the change stored.
--- a/crates/borageswitch_scheduler/src/reducer/pace.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pace.rs
@@ -8,7 +8,7 @@
     policy::pacing,
     reducer::{
         Scheduler,
-        executors::{Executor, Held, Phase},
+        executors::{Executor, HeldRun, Phase},
     },
     task::TaskKey,
 };
@@ -34,12 +34,14 @@
         let served = served(known);
         let recipient = known.recipient();
         let mut changed = Vec::new();
-        let fillers = known.runs.iter_mut().filter(|(_, h)| h.fills && h.phase == Phase::Active);
+        let fillers =
+            known.runs.iter_mut().filter(|(_, h)| h.best_effort && h.phase == Phase::Active);
         for (task, held) in fillers {
-            let Some(next) = next_pace(held, served).filter(|next| held.pace != Some(*next)) else {
+            let Some(next) = next_pace(held, served).filter(|next| held.speed_limit != Some(*next))
+            else {
                 continue;
             };
-            held.pace = Some(next);
+            held.speed_limit = Some(next);
             changed.push((task.clone(), held.run, next));
         }
         for (task, run, pace) in changed {
@@ -64,7 +66,7 @@
         }
         let known = self.executors.get_mut(executor);
         if let Some(held) = known.and_then(|known| known.runs.get_mut(task)) {
-            held.pace = None;
+            held.speed_limit = None;
         }
     }
 }
@@ -73,16 +75,19 @@
 ///
 /// A pace that is not known is ordered in any case: taken for full speed, a run that stands still
 /// would never be told to go on, and its owner would see it do nothing for ever.
-fn next_pace(held: &Held, served: Served) -> Option<u8> {
+fn next_pace(held: &HeldRun, served: Served) -> Option<u8> {
     match served {
         Served::Nobody => Some(FULL_PACE),
         Served::NotYet => None,
-        Served::Tail(percent) => Some(pacing::next_pace(held.pace.unwrap_or(FULL_PACE), percent)),
+        Served::Tail(percent) => {
+            Some(pacing::next_pace(held.speed_limit.unwrap_or(FULL_PACE), percent))
+        }
     }
 }
 
 fn served(known: &Executor) -> Served {
-    let serving = known.runs.values().filter(|held| !held.fills && held.target_tail.is_some());
+    let serving =
+        known.runs.values().filter(|held| !held.best_effort && held.target_tail.is_some());
     let (mut any, mut worst) = (false, None);
     for held in serving {
         any = true;
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -161,13 +161,13 @@
         let Some(job) = self.ledger.jobs.get(&waiting.key.job) else { return Placed::Done };
         let Some(step) = job.step(waiting.key.step).cloned() else { return Placed::Done };
         let needs_ticket = self.needs_ticket(job);
-        if step.gang && self.failed_starts.holds_back_gang(now.time, waiting) {
+        if step.gang && self.failed_starts.is_gang_backing_off(now.time, waiting) {
             return Placed::Done;
         }
         if step.gang {
             let placed = self.place_gang(now, pool, waiting, &step, room);
             if needs_ticket && !placed {
-                self.ask_advice(now, &waiting.key, &step, room);
+                self.request_advice(now, &waiting.key, &step, room);
             }
             return Placed::Done;
         }
@@ -178,7 +178,7 @@
         for &index in waiting.waiting.iter().take(most) {
             let task = waiting.key.task(index);
             let standing = self.standing(&task);
-            if standing == Standing::Culprit || self.failed_starts.holds_back(now.time, &task) {
+            if standing == Standing::Culprit || self.failed_starts.is_backing_off(now.time, &task) {
                 continue;
             }
             let Some(executor) = places.take(&size, standing) else {
@@ -188,7 +188,7 @@
                     continue;
                 }
                 if needs_ticket {
-                    self.ask_advice(now, &waiting.key, &step, room);
+                    self.request_advice(now, &waiting.key, &step, room);
                 }
                 if step.lasting {
                     self.make_room(now, pool, &task, &step);
@@ -232,11 +232,11 @@
         let Some(state) = self.ledger.task(task) else { return };
         let run = run.unwrap_or(state.last_run + 1);
         let Some(held) = self.held_for(now.time, task, run, Phase::Recorded) else { return };
-        self.executors.hold(executor, task, held);
+        self.executors.insert_run(executor, task, held);
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.trust.placed(now.time);
+        known.circuit_breaker.placed(now.time);
         self.starting.decided(task, run);
-        self.watch_suspect(now, executor, task);
+        self.track_suspect(now, executor, task);
         self.record(Record::Assigned { task: task.clone(), run, executor: executor.clone() });
         self.outbox.then_start(executor.clone(), task.clone(), run);
     }
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -170,9 +170,9 @@
     let serves = step.target_tail.is_some() && !step.fills;
     let mut others = known.runs.values();
     if step.fills {
-        others.any(|held| held.target_tail.is_some() && !held.fills)
+        others.any(|held| held.target_tail.is_some() && !held.best_effort)
     } else {
-        serves && others.any(|held| held.fills)
+        serves && others.any(|held| held.best_effort)
     }
 }
 
--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -14,15 +14,15 @@
     executor::{ActiveRun, Report},
     reducer::{
         Limits, Scheduler,
-        crashes::Ending,
-        executors::{Executor, Held, Phase},
+        crashes::EndDetection,
+        executors::{Executor, HeldRun, Phase},
     },
     task::TaskKey,
 };
 
 /// The pause after a look without an answer, and how it grows.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// How long looks at an executor with serving tasks may wait, so that a tail that grows is seen in
 /// time: the tail is reported over the last half second.
 const SERVING_WAIT: Duration = Duration::from_millis(500);
@@ -32,32 +32,32 @@
 /// How often an executor is looked at whose ends are on their way to the store. With a slow store
 /// an append takes a third of a second; looked at only after it, an executor in a rush would have
 /// as much room as it had before, and each of its places would stand idle for so long.
-const UNSTORED_LOOK: Duration = Duration::from_millis(250);
+const UNSTORED_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scheduler {
     /// Sends the looks that are due.
     ///
     /// Most become due by an event; those that the time makes due are found in a sweep.
-    pub(super) fn look_around(&mut self, now: Now, sweep: bool) {
+    pub(super) fn send_polls(&mut self, now: Now, sweep: bool) {
         let mut looks = Vec::new();
-        for (name, order) in self.due_looks(now, sweep) {
+        for (name, order) in self.due_polls(now, sweep) {
             let Some(known) = self.executors.get_mut(&name) else { continue };
             if let Some(until) = order.until_ms {
-                known.lease_ms = known.lease_ms.max(until);
+                known.lease_until_ms = known.lease_until_ms.max(until);
             }
             if order.wait.is_zero() {
-                known.looking.at_once = true;
+                known.polling.immediate_poll_in_flight = true;
             } else {
-                known.looking.waiting = true;
+                known.polling.long_poll_in_flight = true;
             }
             looks.push(Effect::Look(known.recipient(), order));
         }
         self.effects.append(&mut looks);
     }
 
-    fn due_looks(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, LookOrder)> {
+    fn due_polls(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, LookOrder)> {
         let mut unlooked = std::mem::take(&mut self.unlooked);
-        let due = |known: &Executor| due_look(known, now.time, &self.limits);
+        let due = |known: &Executor| due_poll(known, now.time, &self.limits);
         if sweep {
             let all = self.executors.iter();
             return all.filter_map(|(name, known)| Some((name.clone(), due(known)?))).collect();
@@ -72,7 +72,7 @@
         known.collect()
     }
 
-    pub(super) fn looked(
+    pub(super) fn handle_poll_response(
         &mut self,
         now: Now,
         executor: &ExecutorName,
@@ -82,80 +82,82 @@
     ) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         if order.wait.is_zero() {
-            known.looking.at_once = false;
+            known.polling.immediate_poll_in_flight = false;
         } else {
-            known.looking.waiting = false;
+            known.polling.long_poll_in_flight = false;
         }
         match answer {
             LookAnswer::Report(report) => {
-                known.acknowledged = known.acknowledged.max(order.acknowledged);
-                self.take_report(now, executor, sent, &report);
+                known.acknowledged_end = known.acknowledged_end.max(order.acknowledged);
+                self.apply_report(now, executor, sent, &report);
             }
             LookAnswer::Fenced => {
                 self.log("leader-fenced", executor, || "a look met a higher token".to_owned());
                 self.effects.push(Effect::StepDown);
             }
-            LookAnswer::OtherLife => self.life_over(now, executor, Ending::OtherLifeAnswered),
-            LookAnswer::Lost => self.look_lost(now, executor),
+            LookAnswer::OtherLife => {
+                self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
+            }
+            LookAnswer::Lost => self.handle_poll_failure(now, executor),
         }
     }
 
-    fn look_lost(&mut self, now: Now, executor: &ExecutorName) {
+    fn handle_poll_failure(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        let looking = &mut known.looking;
+        let looking = &mut known.polling;
         looking.failures += 1;
         looking.silent_since.get_or_insert(now.time);
-        let pause = FIRST_PAUSE * (1 << (looking.failures - 1).min(4));
-        looking.not_before = now.time + pause.min(LONGEST_PAUSE);
+        let pause = FIRST_BACKOFF * (1 << (looking.failures - 1).min(4));
+        looking.not_before = now.time + pause.min(MAX_BACKOFF);
         if looking.failures == 1 {
             self.log("executor-silent", executor, || "a look got no answer".to_owned());
         }
     }
 
-    fn take_report(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
+    fn apply_report(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        let recovered = known.looking.failures > 0;
-        known.looking.failures = 0;
-        known.looking.silent_since = None;
-        known.lapsed.clear();
+        let recovered = known.polling.failures > 0;
+        known.polling.failures = 0;
+        known.polling.silent_since = None;
+        known.expired_runs.clear();
         known.read_clock(now.time, report.clock_ms);
         if !known.fenced {
             known.fenced = true;
             if !report.active.is_empty() || !known.runs.is_empty() {
                 // What it runs, or may yet run, holds a lease that somebody else gave.
                 let lease = self.limits.inherited_lease.as_millis() as u64;
-                known.lease_ms = known.lease_ms.max(report.clock_ms + lease);
+                known.lease_until_ms = known.lease_until_ms.max(report.clock_ms + lease);
             }
             self.stirred.insert(known.registration.pool.clone());
         }
         // Answers may overtake each other: an older one says nothing about what runs now.
-        let newest = known.looking.answered.is_none_or(|answered| sent >= answered);
+        let newest = known.polling.last_answered_sent.is_none_or(|answered| sent >= answered);
         if newest {
-            known.looking.answered = Some(sent);
+            known.polling.last_answered_sent = Some(sent);
         }
         if recovered {
             self.log("executor-answers", executor, || "after looks without an answer".to_owned());
         }
-        self.take_ends(now, executor, report);
+        self.apply_ends(now, executor, report);
         if newest {
-            self.compare(now, executor, sent, report);
+            self.reconcile(now, executor, sent, report);
             self.pace_neighbours(executor);
         }
     }
 
-    fn take_ends(&mut self, now: Now, executor: &ExecutorName, report: &Report) {
+    fn apply_ends(&mut self, now: Now, executor: &ExecutorName, report: &Report) {
         let seen = self.ledger.seen.get(executor).copied().unwrap_or(0);
         for ended in report.ended.iter().filter(|ended| ended.number > seen) {
-            self.ended(now, executor, ended);
+            self.handle_run_end(now, executor, ended);
         }
         let highest = report.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
         if let Some(known) = self.executors.get_mut(executor) {
-            known.taken_end = known.taken_end.max(highest);
+            known.processed_end = known.processed_end.max(highest);
         }
     }
 
     /// Compares what an executor runs with what it is believed to run.
-    fn compare(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
+    fn reconcile(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
         for active in &report.active {
             let held = self.executors.get(executor).and_then(|known| known.runs.get(&active.task));
             if held.is_some_and(|held| held.run == active.run && !held.confirmed) {
@@ -175,22 +177,24 @@
                         times.begun = true;
                     }
                     let was_at_work = held.is_at_work();
-                    take_active(held, active, now.time);
+                    update_active_run(held, active, now.time);
                     if held.lasting && held.is_at_work() && !was_at_work {
-                        known.trust.succeeded();
+                        known.circuit_breaker.succeeded();
                     }
                 }
                 None => strays.push(active),
             }
         }
-        known.strays = !strays.is_empty();
-        let absent = |task: &TaskKey, held: &Held| {
+        known.has_orphan_runs = !strays.is_empty();
+        let absent = |task: &TaskKey, held: &HeldRun| {
             !listed.contains(&(task, held.run)) && !ended.contains(task)
         };
-        let over = |(task, held): &(&TaskKey, &Held)| absent(task, held) && held.is_over(sent);
+        let over = |(task, held): &(&TaskKey, &HeldRun)| {
+            absent(task, held) && held.absence_proves_end(sent)
+        };
         let missing: Vec<TaskKey> =
             known.runs.iter().filter(over).map(|(task, _)| task.clone()).collect();
-        let doubtful = |(task, held): &(&TaskKey, &Held)| {
+        let doubtful = |(task, held): &(&TaskKey, &HeldRun)| {
             held.phase == Phase::Unsure && held.stop_sent.is_none() && absent(task, held)
         };
         let to_bar: Vec<TaskKey> =
@@ -205,7 +209,7 @@
         }
         self.effects.extend(stops);
         for task in missing {
-            self.release(executor, &task, "not listed");
+            self.release_run(executor, &task, "not listed");
         }
         for task in to_bar {
             self.send_stop(now, executor, &task);
@@ -214,54 +218,57 @@
 }
 
 /// What is known of a run that an executor lists.
-fn take_active(held: &mut Held, active: &ActiveRun, now: Time) {
+fn update_active_run(held: &mut HeldRun, active: &ActiveRun, now: Time) {
     held.percent = active.percent;
     held.recent = active.recent;
     if matches!(held.phase, Phase::Sent | Phase::Inherited | Phase::Unsure) {
         held.phase = Phase::Active;
-        held.since = now;
+        held.phase_since = now;
         held.started = now;
     }
 }
 
-fn due_look(known: &Executor, now: Time, limits: &Limits) -> Option<LookOrder> {
-    let looking = &known.looking;
-    if now < looking.not_before || looking.at_once || known.ended {
+fn due_poll(known: &Executor, now: Time, limits: &Limits) -> Option<LookOrder> {
+    let looking = &known.polling;
+    if now < looking.not_before || looking.immediate_poll_in_flight || known.ended {
         return None;
     }
-    if !known.present && looking.failures >= GIVE_UP_AFTER {
+    if !known.is_registered && looking.failures >= GIVE_UP_AFTER {
         return None;
     }
-    let answered_after = |moment: Time| looking.answered.is_some_and(|answered| answered > moment);
+    let answered_after =
+        |moment: Time| looking.last_answered_sent.is_some_and(|answered| answered > moment);
     let unsettled = known.runs.values().any(|held| {
-        held.phase == Phase::Unsure && !answered_after(held.barred.unwrap_or(held.since))
+        held.phase == Phase::Unsure
+            && !answered_after(held.stop_confirmed.unwrap_or(held.phase_since))
     });
     let in_doubt = !known.fenced || looking.failures > 0;
-    let unknown = in_doubt && (known.present || !known.runs.is_empty());
+    let unknown = in_doubt && (known.is_registered || !known.runs.is_empty());
     let at_once = unknown || unsettled;
-    let running = known.strays || known.runs.values().any(|held| held.phase != Phase::Recorded);
-    if !at_once && (looking.waiting || !wants_look(known, now, running)) {
+    let running =
+        known.has_orphan_runs || known.runs.values().any(|held| held.phase != Phase::Recorded);
+    if !at_once && (looking.long_poll_in_flight || !wants_poll(known, now, running)) {
         return None;
     }
     let until_ms = known
         .clock
         .filter(|_| running)
         .map(|clock| clock.estimate(now) + limits.lease.as_millis() as u64);
-    let wait = if at_once || !running { Duration::ZERO } else { wait_of(known, limits) };
+    let wait = if at_once || !running { Duration::ZERO } else { poll_wait(known, limits) };
     Some(LookOrder { until_ms, acknowledged: known.stored_end, wait })
 }
 
 /// Whether an executor that is known to answer is due for a look.
-fn wants_look(known: &Executor, now: Time, running: bool) -> bool {
-    if known.taken_end > known.stored_end {
+fn wants_poll(known: &Executor, now: Time, running: bool) -> bool {
+    if known.processed_end > known.stored_end {
         // A look is told the ends that were taken in again, at once, so it cannot wait for others.
         let read = known.clock.map_or(Time::ZERO, |clock| clock.received);
-        return running && now.since(read) >= UNSTORED_LOOK;
+        return running && now.since(read) >= UNSTORED_POLL_INTERVAL;
     }
-    running || known.stored_end > known.acknowledged
+    running || known.stored_end > known.acknowledged_end
 }
 
-fn wait_of(known: &Executor, limits: &Limits) -> Duration {
+fn poll_wait(known: &Executor, limits: &Limits) -> Duration {
     if known.runs.values().any(|held| held.target_tail.is_some()) {
         SERVING_WAIT.min(limits.look_wait)
     } else {
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -22,7 +22,7 @@
     reducer::{
         Limits, Scheduler,
         advice::Advice,
-        executors::{Executor, Held, Phase},
+        executors::{Executor, HeldRun, Phase},
         failed_starts::FailedStarts,
         host_list::Fleet,
         kept_room::KeptRoom,
@@ -88,7 +88,7 @@
             scheduler.record(Record::TermBegan);
         }
         scheduler.inherit_ends();
-        scheduler.renew_times(now);
+        scheduler.refresh_job_states(now);
         scheduler.inherit_runs(now);
         scheduler.touched = scheduler.ledger.jobs.keys().cloned().collect();
         scheduler
@@ -100,7 +100,7 @@
         for executor in names {
             let stored = self.ledger.seen.get(&executor).copied().unwrap_or(0);
             let Some(known) = self.executors.get_mut(&executor) else { continue };
-            known.taken_end = stored;
+            known.processed_end = stored;
             known.stored_end = stored;
         }
     }
@@ -118,10 +118,10 @@
             self.inherit_run(now, &executor, pool, &task, held, until);
         }
         for (task, left) in self.ledger.leftovers.clone() {
-            let held = Held {
+            let held = HeldRun {
                 size: left.size,
                 charge: Some(left.charge),
-                ..Held::new(left.run, Phase::Inherited, now.time)
+                ..HeldRun::new(left.run, Phase::Inherited, now.time)
             };
             self.inherit_run(now, &left.executor, PoolName::from(""), &task, held, until);
             self.order_stop(now, &left.executor, &task);
@@ -132,7 +132,7 @@
     /// Executors that have started again since an earlier leader gave them their runs.
     fn inherit_restarts(&mut self, now: Now) {
         let later = |name: &ExecutorName| {
-            let latest = self.executors.latest_life(name).filter(|latest| *latest != name);
+            let latest = self.executors.latest_incarnation(name).filter(|latest| *latest != name);
             Some((name.clone(), latest?.clone()))
         };
         let restarted: Vec<_> = self.executors.keys().filter_map(later).collect();
@@ -149,20 +149,20 @@
         executor: &ExecutorName,
         pool: PoolName,
         task: &TaskKey,
-        held: Held,
+        held: HeldRun,
         until: Time,
     ) {
         if self.executors.get(executor).is_none() {
             let mut unregistered = Executor::new(unknown_registration(executor, pool), now.time);
             let stored = self.ledger.seen.get(executor).copied().unwrap_or(0);
-            unregistered.present = false;
-            unregistered.hearsay = true;
-            unregistered.taken_end = stored;
+            unregistered.is_registered = false;
+            unregistered.known_from_ledger_only = true;
+            unregistered.processed_end = stored;
             unregistered.stored_end = stored;
             self.executors.insert(unregistered);
         }
-        self.executors.hold(executor, task, held);
-        self.watch_suspect(now, executor, task);
+        self.executors.insert_run(executor, task, held);
+        self.track_suspect(now, executor, task);
         if let Some(known) = self.executors.get_mut(executor) {
             known.inherited_until = Some(until);
         }
@@ -175,16 +175,16 @@
         task: &TaskKey,
         run: u32,
         phase: Phase,
-    ) -> Option<Held> {
+    ) -> Option<HeldRun> {
         let job = self.ledger.jobs.get(&task.job)?;
         let step = job.step(task.step)?;
-        Some(Held {
+        Some(HeldRun {
             size: reserved(step),
             charge: charge_of(job, step),
             lasting: step.lasting,
-            fills: step.fills,
+            best_effort: step.fills,
             target_tail: step.target_tail,
-            ..Held::new(run, phase, now)
+            ..HeldRun::new(run, phase, now)
         })
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/rooms.rs
+++ b/crates/borageswitch_scheduler/src/reducer/rooms.rs
@@ -60,9 +60,9 @@
             self.rooms.by_pool.insert(pool.clone(), Room::new());
         }
         let Some(room) = self.rooms.by_pool.get_mut(pool) else { return };
-        if !known.is_open(now.time) {
+        if !known.accepts_runs(now.time) {
             room.remove(executor);
-            if known.rests(now.time) {
+            if known.recovers_with_time(now.time) {
                 self.rooms.resting.insert(executor.clone());
             }
             return;
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -16,7 +16,7 @@
     effect::{Effect, StartOrder},
     event::{Now, OrderAnswer, StartAnswer},
     executor::EndKind,
-    reducer::{Scheduler, crashes::Ending, executors::Phase},
+    reducer::{Scheduler, crashes::EndDetection, executors::Phase},
     task::TaskKey,
 };
 
@@ -44,18 +44,18 @@
         }
         // Its capacity may have shrunk since the run was placed.
         let fits = known.free_without(held).holds(&held.size);
-        let open = known.present && known.fenced && !known.registration.draining && fits;
+        let open = known.is_registered && known.fenced && !known.registration.draining && fits;
         let Some(order) = self.start_order(now, executor, task, run).filter(|_| open) else {
-            self.release(executor, task, "changed before the start");
+            self.release_run(executor, task, "changed before the start");
             return;
         };
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.lease_ms = known.lease_ms.max(order.until_ms);
+        known.lease_until_ms = known.lease_until_ms.max(order.until_ms);
         let recipient = known.recipient();
         if let Some(held) = known.runs.get_mut(task) {
             held.phase = Phase::Sent;
-            held.since = now.time;
-            held.ordered = Some(now.time);
+            held.phase_since = now.time;
+            held.start_sent = Some(now.time);
         }
         self.log("run-sent", task, || format!("run={run} executor={executor}"));
         self.effects.push(Effect::Start(recipient, order));
@@ -101,10 +101,10 @@
         self.stirred.extend(self.starting.take_held_back());
         let Some(known) = self.executors.get_mut(executor) else { return };
         if let Some(clock_ms) = clock_ms {
-            if known.is_other_life(sent, clock_ms) {
+            if known.is_other_incarnation(sent, clock_ms) {
                 // It may run there: it is looked for once that life is registered.
                 self.start_lost(now, executor, task);
-                self.life_over(now, executor, Ending::OtherLifeAnswered);
+                self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
                 return;
             }
             known.read_clock(now.time, clock_ms);
@@ -112,7 +112,7 @@
         if known.runs.get(task).is_none_or(|held| held.run != run) {
             return;
         }
-        self.note_start(now, task, answer);
+        self.note_start_response(now, task, answer);
         if answer != StartAnswer::Started {
             self.log("start-refused", task, || {
                 let age = now.time.since(sent).as_millis();
@@ -123,29 +123,31 @@
             StartAnswer::Started => self.run_confirmed(now, executor, task),
             StartAnswer::Lost => self.start_lost(now, executor, task),
             StartAnswer::Fenced => self.effects.push(Effect::StepDown),
-            StartAnswer::OtherLife => self.life_over(now, executor, Ending::OtherLifeAnswered),
+            StartAnswer::OtherLife => {
+                self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
+            }
             StartAnswer::NoRoom => self.close(now, executor, task, FULL_PAUSE, "no room"),
             StartAnswer::Malformed => {
                 self.close(now, executor, task, MALFORMED_PAUSE, "malformed");
             }
             StartAnswer::Unhealthy => {
                 if let Some(known) = self.executors.get_mut(executor) {
-                    known.trust.failed(now.time);
+                    known.circuit_breaker.failed(now.time);
                 }
                 self.close(now, executor, task, FULL_PAUSE, "unhealthy");
             }
             StartAnswer::NotPermitted => {
                 self.advice.withdraw(&task.step_key(), executor);
-                self.release(executor, task, "not permitted");
+                self.release_run(executor, task, "not permitted");
             }
             StartAnswer::NotSent => {
                 if let Some(known) = self.executors.get_mut(executor) {
-                    known.looking.failures = known.looking.failures.max(1);
+                    known.polling.failures = known.polling.failures.max(1);
                 }
-                self.release(executor, task, "not sent");
+                self.release_run(executor, task, "not sent");
             }
-            StartAnswer::Outdated => self.release(executor, task, "outdated"),
-            StartAnswer::Late => self.release(executor, task, "late"),
+            StartAnswer::Outdated => self.release_run(executor, task, "outdated"),
+            StartAnswer::Late => self.release_run(executor, task, "late"),
         }
     }
 
@@ -158,18 +160,18 @@
         }
         if matches!(held.phase, Phase::Sent | Phase::Unsure) {
             held.phase = Phase::Active;
-            held.since = now.time;
+            held.phase_since = now.time;
             held.started = now.time;
         }
     }
 
     fn start_lost(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.looking.silent_since.get_or_insert(now.time);
+        known.polling.silent_since.get_or_insert(now.time);
         let Some(held) = known.runs.get_mut(task) else { return };
         if held.phase == Phase::Sent {
             held.phase = Phase::Unsure;
-            held.since = now.time;
+            held.phase_since = now.time;
         }
     }
 
@@ -184,7 +186,7 @@
         if let Some(known) = self.executors.get_mut(executor) {
             known.full_until = now.time + pause;
         }
-        self.release(executor, task, why);
+        self.release_run(executor, task, why);
     }
 
     /// Wants a run to end, however it stands.
@@ -192,11 +194,11 @@
         let Some(known) = self.executors.get_mut(executor) else { return };
         let Some(held) = known.runs.get_mut(task) else { return };
         match held.phase {
-            Phase::Recorded => self.release(executor, task, "stopped before the start"),
+            Phase::Recorded => self.release_run(executor, task, "stopped before the start"),
             Phase::Stopping => {}
             Phase::Sent | Phase::Active | Phase::Inherited | Phase::Unsure => {
                 held.phase = Phase::Stopping;
-                held.since = now.time;
+                held.phase_since = now.time;
                 if let Some(away) = self.away.get_mut(&task.step_key()) {
                     away.insert(task.index);
                 }
@@ -209,7 +211,7 @@
     pub(super) fn send_stop(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let recipient = known.recipient();
-        let present = known.present;
+        let present = known.is_registered;
         let Some(held) = known.runs.get_mut(task) else { return };
         held.stop_sent = Some(now.time);
         if present {
@@ -229,11 +231,13 @@
             OrderAnswer::Done => {
                 let Some(known) = self.executors.get_mut(executor) else { return };
                 if let Some(held) = known.runs.get_mut(task).filter(|held| held.run == run) {
-                    held.barred.get_or_insert(now.time);
+                    held.stop_confirmed.get_or_insert(now.time);
                 }
             }
             OrderAnswer::Fenced => self.effects.push(Effect::StepDown),
-            OrderAnswer::OtherLife => self.life_over(now, executor, Ending::OtherLifeAnswered),
+            OrderAnswer::OtherLife => {
+                self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
+            }
             // Sent again from the sweep.
             OrderAnswer::Refused | OrderAnswer::Lost => {}
         }
@@ -246,7 +250,7 @@
             for (task, held) in &known.runs {
                 let wanted = matches!(held.phase, Phase::Stopping | Phase::Unsure);
                 let old = held.stop_sent.is_some_and(|at| now.time.since(at) >= REPEAT_STOP);
-                if wanted && old && held.barred.is_none() {
+                if wanted && old && held.stop_confirmed.is_none() {
                     due.push((executor.clone(), task.clone()));
                 }
             }
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -9,7 +9,7 @@
     policy::stragglers::{self, ShortRun},
     reducer::{
         Scheduler,
-        executors::{Executor, Held, Phase},
+        executors::{Executor, HeldRun, Phase},
     },
     task::TaskKey,
 };
@@ -49,7 +49,7 @@
         }
     }
 
-    fn straggles(&self, known: &Executor, task: &TaskKey, held: &Held) -> bool {
+    fn straggles(&self, known: &Executor, task: &TaskKey, held: &HeldRun) -> bool {
         let Some(job) = self.ledger.jobs.get(&task.job) else { return false };
         let Some(step) = job.step(task.step) else { return false };
         if held.phase != Phase::Active || step.gang {
@@ -72,7 +72,7 @@
 
     fn give_up(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        known.trust.failed(now.time);
+        known.circuit_breaker.failed(now.time);
         let Some(held) = known.runs.get(task) else { return };
         let (run, percent) = (held.run, held.percent);
         let elapsed = now.time.since(held.started).as_millis();
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -47,11 +47,11 @@
         self.on_probation.get(executor).map_or(0, BTreeSet::len)
     }
 
-    fn watch(&mut self, executor: &ExecutorName, task: &TaskKey) {
+    fn track(&mut self, executor: &ExecutorName, task: &TaskKey) {
         self.on_probation.entry(executor.clone()).or_default().insert(task.clone());
     }
 
-    fn drop_from(&mut self, executor: &ExecutorName, task: &TaskKey) {
+    fn untrack(&mut self, executor: &ExecutorName, task: &TaskKey) {
         let Some(tasks) = self.on_probation.get_mut(executor) else { return };
         tasks.remove(task);
         if tasks.is_empty() {
@@ -77,12 +77,12 @@
     }
 
     /// A task was placed: a suspect is watched, and an isolated one is left alone for a while.
-    pub(super) fn watch_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    pub(super) fn track_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let standing = self.standing(task);
         if standing == Standing::Clear {
             return;
         }
-        self.suspects.watch(executor, task);
+        self.suspects.track(executor, task);
         if standing >= Standing::Isolated
             && let Some(known) = self.executors.get_mut(executor)
         {
@@ -92,7 +92,7 @@
 
     /// Takes in what a crash says about the tasks that ran there. `others` crashed in the same moment;
     /// `started_on` tells on how many of all these a job had just started.
-    pub(super) fn take_crash(
+    pub(super) fn attribute_crash(
         &mut self,
         now: Now,
         ended: &EndedExecutor,
@@ -112,7 +112,7 @@
                 let evidence = self.evidence(now, ended, lost, shares[job]);
                 return Some(suspicion(now, ended, lost, evidence));
             }
-            blame::is_soon(lost.lived).then(|| suspicion(now, ended, lost, 0))
+            blame::is_soon(lost.min_age).then(|| suspicion(now, ended, lost, 0))
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         self.suspects.history.note(now.time, ended.host().cloned(), jobs);
@@ -122,8 +122,8 @@
     /// Takes in that an executor has gone for another reason, or an unknown one, a moment after tasks
     /// were started there. It says nothing against them, but counts for the bound on restarts: a
     /// crash may be hidden by a drain, or have been seen by a leader that could not store it.
-    pub(super) fn take_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let soon = ended.runs.iter().filter(|lost| blame::is_soon(lost.lived));
+    pub(super) fn note_unattributed_loss(&mut self, now: Now, ended: &EndedExecutor) {
+        let soon = ended.runs.iter().filter(|lost| blame::is_soon(lost.min_age));
         let suspicions = soon.map(|lost| suspicion(now, ended, lost, 0));
         self.suspect(suspicions.collect());
     }
@@ -135,7 +135,7 @@
         let tasks: Vec<TaskKey> = suspicions.iter().map(|s| s.task.clone()).collect();
         self.record(Record::Crashed { suspicions });
         for task in tasks {
-            self.judge(&task);
+            self.review_suspect(&task);
         }
     }
 
@@ -160,19 +160,19 @@
     }
 
     /// Gives a task up if the evidence suffices; else watches the run that it may have by now.
-    fn judge(&mut self, task: &TaskKey) {
-        if self.standing(task) == Standing::Culprit || self.is_culprit_job(&task.job) {
-            self.give_up_culprit(task);
+    fn review_suspect(&mut self, task: &TaskKey) {
+        if self.standing(task) == Standing::Culprit || self.is_poison_job(&task.job) {
+            self.give_up_poison_task(task);
             return;
         }
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
         if let Some(executor) = assigned.map(|assigned| assigned.executor.clone()) {
-            self.suspects.watch(&executor, task);
+            self.suspects.track(&executor, task);
         }
     }
 
     /// Whether the crashes under a job's tasks speak against it, taken together.
-    fn is_culprit_job(&self, name: &JobName) -> bool {
+    fn is_poison_job(&self, name: &JobName) -> bool {
         let Some(job) = self.ledger.jobs.get(name) else { return false };
         let steps = &job.submission.spec.steps;
         let tasks: usize = steps.iter().map(|step| step.count as usize).sum();
@@ -180,7 +180,7 @@
         blame::is_certain_of_job(crashes, tasks * job.progress.open.len().max(1))
     }
 
-    fn give_up_culprit(&mut self, task: &TaskKey) {
+    fn give_up_poison_task(&mut self, task: &TaskKey) {
         if self.ledger.given_up.contains_key(&task.job) {
             return;
         }
@@ -203,7 +203,7 @@
         for (executor, tasks) in &self.suspects.on_probation {
             for task in tasks {
                 let known = self.executors.get(executor);
-                let held = known.and_then(|known| Some(known.lived(known.runs.get(task)?)));
+                let held = known.and_then(|known| Some(known.min_run_age(known.runs.get(task)?)));
                 let crashes = self.ledger.crashes_under(task);
                 match held {
                     Some(lived) if crashes.iter().any(|crash| blame::refutes(lived, crash)) => {
@@ -215,7 +215,7 @@
             }
         }
         for (executor, task) in over {
-            self.suspects.drop_from(&executor, &task);
+            self.suspects.untrack(&executor, &task);
         }
         for (executor, task, millis) in outlived {
             self.log("suspect-lives", &task, || format!("executor={executor} lived_ms={millis}"));
@@ -241,8 +241,8 @@
         executor: ended.executor.clone(),
         at: now.wall,
         run: lost.run,
-        age_ms: lost.age.unwrap_or(UNKNOWN_AGE).as_millis() as u64,
-        lived_ms: lost.lived.as_millis() as u64,
+        age_ms: lost.max_age.unwrap_or(UNKNOWN_AGE).as_millis() as u64,
+        lived_ms: lost.min_age.as_millis() as u64,
         evidence,
     };
     Suspicion { task: lost.task.clone(), crash }
--- a/crates/borageswitch_scheduler/src/reducer/waves.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waves.rs
@@ -136,7 +136,7 @@
     /// How much work each pool has for each of its hosts, in thousandths of a core.
     fn work_by_pool(&self) -> BTreeMap<PoolName, u64> {
         let work = |pool: &PoolName| {
-            let members = self.executors.of_pool(pool).map(|(_, known)| known.taken().cpu_milli);
+            let members = self.executors.of_pool(pool).map(|(_, known)| known.used().cpu_milli);
             let (count, taken) = members.fold((0, 0), |(n, all), taken| (n + 1, all + taken));
             taken.checked_div(count).unwrap_or(0)
         };
