--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -1,8 +1,9 @@
-//! Asks on which executors a step may run, where a policy restricts that.
+//! Requests to the advisor, which decides on which executors the steps of a queue may run.
 //!
-//! The advisor takes its time for each executor that it is asked about and serves one call of a
-//! daemon at a time, so it is asked about a few dozen executors that have room, and only for steps
-//! that wait. What it refuses for a step it refuses for good; what it permits runs out.
+//! The time of a request grows with the number of executors in it, and the advisor serves one call
+//! of a daemon at a time. A request therefore names at most a few dozen executors with free
+//! capacity, and is sent only for steps with waiting tasks. A refusal is final for its step; a
+//! permission expires.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -22,15 +23,15 @@
     task::StepKey,
 };
 
-/// How many executors one call asks about.
+/// The most executors that one request names.
 const MAX_EXECUTORS_PER_REQUEST: usize = 30;
-/// The most calls that wait at once: the advisor refuses when 32 calls of all daemons wait.
+/// The most requests in flight: the advisor refuses further ones when 32 from all daemons wait.
 const MAX_REQUESTS_IN_FLIGHT: usize = 4;
-/// A permission is used only while so much of its time is left: the order has yet to be stored and
-/// to arrive.
+/// The remaining validity that a ticket needs to be used: the start order has yet to be stored and
+/// to reach the executor.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
-/// How long to wait after a call without an answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long to wait after a request that got no response.
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Verdict {
@@ -38,7 +39,7 @@
     Refused,
 }
 
-/// What the advisor has said, and what it is being asked.
+/// The advisor's verdicts, and the requests in flight.
 #[derive(Debug, Default)]
 pub struct Advice {
     verdicts: BTreeMap<StepKey, BTreeMap<ExecutorName, Verdict>>,
@@ -47,7 +48,7 @@
 }
 
 impl Advice {
-    /// The permission to run a step on an executor, while it holds.
+    /// The ticket that permits a step to run on an executor, while it is valid.
     pub fn ticket(&self, step: &StepKey, executor: &ExecutorName, now: Time) -> Option<Arc<str>> {
         match self.verdicts.get(step)?.get(executor)? {
             Verdict::Permitted { ticket, until } if now + TICKET_MARGIN < *until => {
@@ -57,8 +58,8 @@
         }
     }
 
-    /// The executor did not accept its permission.
-    pub fn withdraw(&mut self, step: &StepKey, executor: &ExecutorName) {
+    /// Drops the ticket for an executor that did not accept it.
+    pub fn revoke_ticket(&mut self, step: &StepKey, executor: &ExecutorName) {
         if let Some(verdicts) = self.verdicts.get_mut(step) {
             verdicts.remove(executor);
         }
@@ -71,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// Whether starts of a job's tasks need a permission.
+    /// Whether starts of a job's tasks need a ticket from the advisor.
     pub(super) fn needs_ticket(&self, job: &Job) -> bool {
         self.advisor_of(job).is_some()
     }
@@ -82,10 +83,11 @@
         configured.unwrap_or(&job.submission.queue).advisor
     }
 
-    /// Asks about a step with a task that has found no host, unless enough is being asked.
+    /// Requests advice for a step with a task that was not placed, unless a request for the step or
+    /// too many for others are in flight.
     ///
-    /// Hosts with room that were not asked about yet come in, whether or not others are permitted:
-    /// those may be full, or have as many tasks of the step as they may have.
+    /// The request names executors with free capacity without a valid verdict, even if the step is
+    /// permitted on others: those may be full or have reached the step's limit of tasks per host.
     pub(super) fn request_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
         let advice = &self.advice;
         let busy =
@@ -93,27 +95,27 @@
         if busy || now.time < advice.not_before {
             return;
         }
-        let suits = |executor: &&ExecutorName| {
+        let has_labels = |executor: &&ExecutorName| {
             let known = self.executors.get(executor);
             known.is_some_and(|known| fits_labels(step, known))
         };
         let size = reserved(step);
-        let mut ask: Vec<ExecutorName> = room
+        let mut candidates: Vec<ExecutorName> = room
             .iter()
             .filter(|(_, free)| free.holds(&size))
             .map(|(executor, _)| executor)
-            .filter(suits)
+            .filter(has_labels)
             .filter(|executor| !advice.is_refused(key, executor))
             .filter(|executor| advice.ticket(key, executor, now.time).is_none())
             .cloned()
             .collect();
-        ask.sort_by_key(|executor| std::cmp::Reverse(room[executor].cpu_milli));
-        ask.truncate(MAX_EXECUTORS_PER_REQUEST);
-        if ask.is_empty() {
+        candidates.sort_by_key(|executor| std::cmp::Reverse(room[executor].cpu_milli));
+        candidates.truncate(MAX_EXECUTORS_PER_REQUEST);
+        if candidates.is_empty() {
             return;
         }
         self.advice.in_flight.insert(key.clone(), now.time);
-        self.effects.push(Effect::Advise(key.clone(), ask));
+        self.effects.push(Effect::Advise(key.clone(), candidates));
     }
 
     pub(super) fn handle_advice(
@@ -127,7 +129,7 @@
         self.advice.in_flight.remove(step);
         self.stir_pool_of(&step.job);
         let Some(allowed) = allowed else {
-            self.advice.not_before = now.time + RETRY_PAUSE;
+            self.advice.not_before = now.time + RETRY_BACKOFF;
             self.log("advice-missing", step, || "no answer".to_owned());
             return;
         };
@@ -139,14 +141,14 @@
         }
         let permitted = allowed.len();
         for (executor, ticket) in allowed {
-            // The time counts from when the advisor answered, at the earliest when it was asked.
+            // The validity begins when the advisor responds, which is not before the request.
             let until = sent + times.validity;
             verdicts.insert(executor, Verdict::Permitted { ticket, until });
         }
         self.log("advice", step, || format!("asked={} permitted={permitted}", asked.len()));
     }
 
-    /// Drops what was said of jobs that have ended.
+    /// Drops the advice for jobs that have ended.
     pub(super) fn forget_advice(&mut self) {
         let jobs = &self.ledger.jobs;
         self.advice.verdicts.retain(|step, _| jobs.contains_key(&step.job));
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -1,7 +1,8 @@
-//! Executors that ended, and which of them crashed.
+//! Classification of ended executors, to find those that crashed.
 //!
-//! An executor that leaves, or whose host the platform takes away on an order, says nothing about
-//! what it ran. One that ends by itself may have been brought down by one of its tasks.
+//! The end of an executor that was drained, or whose host the platform took out of service on an
+//! order, is no evidence against its tasks. An executor that ends by itself may have been crashed
+//! by one of them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,33 +26,33 @@
     task::TaskKey,
 };
 
-/// The most runs that one line names.
-const MOST_RUNS: usize = 50;
+/// The most runs that one log line names.
+const MAX_LISTED_RUNS: usize = 50;
 
-/// How it was learned that an executor has ended.
+/// How the leader detected that an executor has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndDetection {
-    /// Another life answered at its address.
+    /// Another incarnation responded at its address.
     OtherIncarnationAnswered,
-    /// Another life is registered at its address.
+    /// Another incarnation is registered at its address.
     OtherIncarnationRegistered,
-    /// It is registered again under its name, as a later life.
+    /// It is registered again under its name, as a later incarnation.
     Restarted(HostOutcome),
-    /// No host of the platform's list has it.
+    /// No host in the platform's list has it.
     Unlisted {
-        /// When the list was asked for.
+        /// When the list was requested.
         listed_at: Time,
-        /// What has become of its host.
+        /// The present state of its host.
         host: HostOutcome,
     },
-    /// The platform has carried out an order for its host.
+    /// The platform has carried out an order that takes its host out of service.
     HostOrderCompleted,
-    /// It is registered no more and its lease has ended.
+    /// It is no longer registered, and its lease has expired.
     Expired,
 }
 
 impl EndDetection {
-    /// How it was learned.
+    /// The reason as it is written to the log.
     pub fn why(&self) -> &'static str {
         match self {
             EndDetection::OtherIncarnationAnswered => "another life answered",
@@ -63,7 +64,7 @@
         }
     }
 
-    /// When nobody was there under the executor's name, if that is known.
+    /// A moment at which no executor of that name was running, if one is known.
     pub fn absent_at(&self) -> Option<Time> {
         match self {
             EndDetection::Unlisted { listed_at, .. } => Some(*listed_at),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// What has become of its host, as far as it is known.
+    /// The present state of its host, if the detection involved the host list.
     fn host_outcome(&self) -> Option<&HostOutcome> {
         match self {
             EndDetection::Unlisted { host, .. } | EndDetection::Restarted(host) => Some(host),
@@ -80,19 +81,19 @@
     }
 }
 
-/// What has become of the host of an executor that has ended.
+/// The state of the host of an executor that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum HostOutcome {
-    /// No earlier list told which host it was.
+    /// No earlier list names its host.
     #[display("unknown")]
     Unknown,
-    /// It changes its pool or is maintained.
+    /// The host changes its pool or is in maintenance.
     #[display("{_0} ordered away")]
     Ordered(HostName),
-    /// It is listed in this state.
+    /// The host is listed in this state.
     #[display("{_0} {_1}")]
     Listed(HostName, HostState),
-    /// It is listed no more.
+    /// The host is no longer listed.
     #[display("{_0} removed")]
     Removed(HostName),
 }
@@ -100,43 +101,44 @@
 /// Why an executor has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum EndCause {
-    /// By itself.
+    /// It ended by itself.
     #[display("crash")]
     Crash,
-    /// It had said that it would leave.
+    /// It had announced that it drains.
     #[display("drain")]
     Drain,
     /// Its host was moved or maintained.
     #[display("order")]
     Order,
-    /// Its host was taken out of the fleet.
+    /// Its host was removed from the fleet.
     #[display("removal")]
     Removal,
-    /// It was gone before this leader heard of it.
+    /// It may have ended before this leader took over.
     #[display("unknown")]
     Unknown,
 }
 
 impl EndCause {
-    /// Whether an executor may have crashed all the same, though that is not the likeliest cause.
+    /// Whether the executor may nevertheless have crashed, though another cause is likelier.
     fn may_hide_crash(self) -> bool {
         matches!(self, EndCause::Drain | EndCause::Removal | EndCause::Unknown)
     }
 }
 
-/// A run that went with its executor.
+/// A run that was lost with its executor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRun {
     /// The task.
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// How long it was there at most; nothing if an earlier leader started it.
+    /// The longest time that the run can have existed; `None` if an earlier leader started it.
     pub max_age: Option<Duration>,
-    /// How long it was there at least.
+    /// The time for which the run is known to have existed.
     pub min_age: Duration,
-    /// The time within which the crash came, as far as it is known: since the start, or since the
-    /// executor was last known to live if the start got no answer. Nothing as for the age.
+    /// The window within which the executor crashed: since the start of the run, or since the
+    /// executor was last known to be up if the start got no response. `None` if an earlier leader
+    /// started the run.
     pub window: Option<Duration>,
 }
 
@@ -147,35 +149,36 @@
     pool: PoolName,
     detection: EndDetection,
     cause: EndCause,
-    /// It has answered until then.
+    /// When it last responded.
     last_contact: Option<Time>,
-    /// It has ended by then.
+    /// The latest time at which it can have ended.
     ended_by: Time,
     pub(super) runs: Vec<LostRun>,
 }
 
 impl EndedExecutor {
-    /// An executor that is found to have ended.
+    /// Describes an executor that was just found to have ended; `listed_up` is when the platform
+    /// last listed it as up.
     pub(super) fn new(
         known: &Executor,
-        ending: EndDetection,
-        seen_up: Option<Time>,
+        detection: EndDetection,
+        listed_up: Option<Time>,
         now: Time,
     ) -> Self {
         let mut runs = known.expired_runs.clone();
-        runs.extend(lost_runs(known, seen_up, now));
+        runs.extend(lost_runs(known, listed_up, now));
         Self {
             executor: known.registration.executor.clone(),
             pool: known.registration.pool.clone(),
-            cause: cause(known, &ending, &runs),
-            detection: ending,
+            cause: cause(known, &detection, &runs),
+            detection,
             last_contact: known.clock.map(|clock| clock.received),
             ended_by: ended_by(known, now),
             runs,
         }
     }
 
-    /// Its host, if a list told which it was.
+    /// Its host, if that is known and still listed.
     pub(super) fn host(&self) -> Option<&HostName> {
         match self.detection.host_outcome() {
             Some(HostOutcome::Listed(host, _)) => Some(host),
@@ -183,9 +186,10 @@
         }
     }
 
-    /// Whether it may have ended in the same moment as another one.
+    /// Whether it may have ended at the same moment as another executor.
     fn coincides(&self, other: &Self) -> bool {
-        let before = |a: &Self, b: &Self| a.last_contact.is_none_or(|heard| heard <= b.ended_by);
+        let before =
+            |a: &Self, b: &Self| a.last_contact.is_none_or(|contact| contact <= b.ended_by);
         before(self, other) && before(other, self)
     }
 }
@@ -194,25 +198,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "runs={} why={} cause={}", self.runs.len(), self.detection.why(), self.cause)?;
         match self.detection.host_outcome() {
-            Some(fate) => write!(f, " host={fate}"),
+            Some(outcome) => write!(f, " host={outcome}"),
             None => Ok(()),
         }
     }
 }
 
-/// What an executor that has ended was running; `seen_up` is when the platform listed it last.
-pub(super) fn lost_runs(known: &Executor, seen_up: Option<Time>, now: Time) -> Vec<LostRun> {
+/// The runs of an executor that has ended; `listed_up` is when the platform last listed it as up.
+pub(super) fn lost_runs(known: &Executor, listed_up: Option<Time>, now: Time) -> Vec<LostRun> {
     let ended_by = ended_by(known, now);
-    let alive = known.clock.map(|clock| clock.received).max(seen_up);
+    let last_up = known.clock.map(|clock| clock.received).max(listed_up);
     let started = known.runs.iter().filter(|(_, held)| held.phase != Phase::Recorded);
     let lost = started.map(|(task, held)| {
-        let alive = alive.unwrap_or(Time::ZERO);
-        // A start without an answer may have been sent to an executor that had crashed before.
-        let since = held.start_sent.map(|at| if held.confirmed { at } else { at.min(alive) });
+        let last_up = last_up.unwrap_or(Time::ZERO);
+        // A start without a response may have been sent to an executor that had already crashed.
+        let since = held.start_sent.map(|at| if held.confirmed { at } else { at.min(last_up) });
         LostRun {
             task: task.clone(),
             run: held.run,
-            max_age: held.start_sent.map(|ordered| ended_by.since(ordered)),
+            max_age: held.start_sent.map(|sent| ended_by.since(sent)),
             min_age: known.min_run_age(held),
             window: since.map(|since| ended_by.since(since)),
         }
@@ -221,27 +225,28 @@
 }
 
 fn ended_by(known: &Executor, now: Time) -> Time {
-    // One call may get an answer after another one did not.
-    let heard = known.clock.map_or(Time::ZERO, |clock| clock.received);
-    known.polling.silent_since.filter(|since| *since >= heard).unwrap_or(now)
+    // A call may get a response after another one failed.
+    let last_contact = known.clock.map_or(Time::ZERO, |clock| clock.received);
+    known.polling.silent_since.filter(|since| *since >= last_contact).unwrap_or(now)
 }
 
-fn cause(known: &Executor, ending: &EndDetection, runs: &[LostRun]) -> EndCause {
-    match (ending, ending.host_outcome()) {
+fn cause(known: &Executor, detection: &EndDetection, runs: &[LostRun]) -> EndCause {
+    match (detection, detection.host_outcome()) {
         (EndDetection::HostOrderCompleted, _) | (_, Some(HostOutcome::Ordered(_))) => {
             EndCause::Order
         }
         _ if known.registration.draining => EndCause::Drain,
         (_, Some(HostOutcome::Removed(_))) => EndCause::Removal,
         _ if known.known_from_ledger_only => EndCause::Unknown,
-        // A registration outlives its executor, and may be read again after the crash was noted.
+        // A registration remains after its executor has ended, and may be read again after the crash
+        // was recorded.
         _ if known.clock.is_none() && runs.is_empty() => EndCause::Unknown,
         _ => EndCause::Crash,
     }
 }
 
 impl Scheduler {
-    /// Tells of each executor that crashed, and takes in what that says about its tasks.
+    /// Logs each executor that has crashed, and updates the suspicions against its tasks.
     pub(super) fn process_crashes(&mut self, now: Now) {
         let ended = std::mem::take(&mut self.ended_executors);
         for executor in ended.iter().filter(|executor| executor.cause.may_hide_crash()) {
@@ -256,20 +261,24 @@
                 .filter(|other| other.executor != executor.executor && executor.coincides(other));
             let others = others.count();
             self.log("executor-crashed", &executor.executor, || {
-                format!("pool={} others={others} runs={}", executor.pool, list(&executor.runs))
+                format!(
+                    "pool={} others={others} runs={}",
+                    executor.pool,
+                    format_runs(&executor.runs)
+                )
             });
             self.attribute_crash(now, executor, others, &started_on);
         }
     }
 }
 
-/// On how many executors that crashed each job had just started.
+/// The number of crashed executors on which each job had recently started.
 fn started_on(crashed: &[&EndedExecutor]) -> BTreeMap<JobName, usize> {
     let mut started_on: BTreeMap<JobName, usize> = BTreeMap::new();
     for executor in crashed {
-        let soon =
+        let recent =
             executor.runs.iter().filter(|lost| lost.max_age.is_some_and(|a| a <= blame::SOON));
-        let jobs: BTreeSet<&JobName> = soon.map(|lost| &lost.task.job).collect();
+        let jobs: BTreeSet<&JobName> = recent.map(|lost| &lost.task.job).collect();
         for job in jobs {
             *started_on.entry(job.clone()).or_default() += 1;
         }
@@ -277,12 +286,12 @@
     started_on
 }
 
-fn list(runs: &[LostRun]) -> String {
-    let named = runs.iter().take(MOST_RUNS).map(|lost| {
+fn format_runs(runs: &[LostRun]) -> String {
+    let named = runs.iter().take(MAX_LISTED_RUNS).map(|lost| {
         let age = lost.max_age.map_or("?".to_owned(), |age| age.as_millis().to_string());
         format!("{} run {} age_ms {age}", lost.task, lost.run)
     });
     let named: Vec<String> = named.collect();
-    let left_out = runs.len().saturating_sub(MOST_RUNS);
+    let left_out = runs.len().saturating_sub(MAX_LISTED_RUNS);
     format!("{} left_out={left_out} [{}]", runs.len(), named.join("; "))
 }
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -1,4 +1,4 @@
-//! Runs end, or are known never to have begun.
+//! Processes ended runs, and releases tasks whose run is known not to exist.
 
 use borageswitch_types::names::ExecutorName;
 
@@ -11,7 +11,7 @@
 };
 
 impl Scheduler {
-    /// Frees a task that certainly does not run on an executor and never will.
+    /// Releases a task whose run is certain not to exist on an executor, now or later.
     pub(super) fn release_run(
         &mut self,
         executor: &ExecutorName,
@@ -26,13 +26,13 @@
             format!("run={} executor={executor} why={why}", held.run)
         });
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
-        let is_left = self.ledger.leftovers.get(task).is_some_and(|left| left.run == held.run);
-        if is_left || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
+        let is_leftover = self.ledger.leftovers.get(task).is_some_and(|left| left.run == held.run);
+        if is_leftover || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
             self.record(Record::Released { task: task.clone(), run: held.run });
         }
     }
 
-    /// Takes in the end of a run, whoever told of it.
+    /// Records the end of a run that an executor has reported.
     pub(super) fn handle_run_end(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
         let Some(known) = self.executors.get(executor) else { return };
         self.starting.over(&ended.task, ended.run);
@@ -72,18 +72,18 @@
         self.stop_leftovers(now, &ended.task, ended.how);
     }
 
-    /// A failure counts against an executor unless the task has failed on another one before: then
-    /// the task itself is the likelier cause.
+    /// Counts a failed run against the executor, unless the task has failed before or its job has
+    /// failed on another executor: then the task itself is the likelier cause.
     fn note_failure(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let failed_before = self.ledger.task(task).is_some_and(|state| state.failures > 0);
-        let job_doubted = self
+        let job_suspected = self
             .times
             .get(&task.job)
             .is_some_and(|times| times.failed_on.as_ref().is_some_and(|other| other != executor));
         if let Some(times) = self.times.get_mut(&task.job) {
             times.failed_on.get_or_insert_with(|| executor.clone());
         }
-        if failed_before || job_doubted {
+        if failed_before || job_suspected {
             return;
         }
         if let Some(known) = self.executors.get_mut(executor) {
--- a/crates/borageswitch_scheduler/src/reducer/executor_table.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executor_table.rs
@@ -1,9 +1,9 @@
-//! All executors, with the indices that keep a decision as cheap on a thousand of them as on ten.
+//! All executors, with indices that make the cost of a decision independent of their number.
 //!
-//! Thousands of runs end each second on a thousand executors. Searched for, each end costs a walk
-//! over all of them, the leader comes late with everything, the backlog grows and makes each walk
-//! longer. So whatever is asked by pool, by job or by task is looked up, and what only an event can
-//! change is looked at again only where one has come.
+//! Thousands of runs end each second on a thousand executors. If each end needed a scan over all
+//! executors, the leader would fall behind, and the growing backlog would make each scan longer.
+//! Lookups by pool, job or task therefore use an index, and state that only an event can change is
+//! evaluated again only for the executors of that event.
 
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 
@@ -17,38 +17,41 @@
     task::TaskKey,
 };
 
-/// All executors that are known.
+/// All known executors.
 #[derive(Debug, Default)]
 pub struct ExecutorTable {
     all: BTreeMap<ExecutorName, Executor>,
     by_pool: BTreeMap<PoolName, BTreeSet<ExecutorName>>,
-    /// The latest known life of each executor whose lives are told apart, by its registered name.
+    /// The latest known incarnation by registered name, of executors whose names tell incarnations
+    /// apart.
     latest_incarnations: BTreeMap<ExecutorName, ExecutorName>,
-    /// What callers' runs use on all of them.
+    /// What the runs of each caller use on all executors together.
     usage: Usage,
-    /// Where a job's tasks have runs, or may have.
+    /// The executors and tasks of each job's runs, including runs that may not exist.
     runs_by_job: BTreeMap<JobName, BTreeSet<(ExecutorName, TaskKey)>>,
-    /// Executors that may look different since they were asked for last, each once.
+    /// Executors that may have changed since [`Self::take_changed`], without duplicates.
     changed: Vec<ExecutorName>,
-    /// Pools that executors have left since they were asked for last.
+    /// Executors that have left a pool since [`Self::take_departed`].
     departed: Vec<(PoolName, ExecutorName)>,
 }
 
 impl ExecutorTable {
-    /// One of them.
+    /// The executor of that name.
     pub fn get(&self, executor: &ExecutorName) -> Option<&Executor> {
         self.all.get(executor)
     }
 
-    /// The latest known life of the executor that is registered under the same name as `executor`.
+    /// The latest known incarnation of the executor with the same registered name as `executor`.
     pub fn latest_incarnation(&self, executor: &ExecutorName) -> Option<&ExecutorName> {
         let registered = life::registered(executor);
         let known = self.latest_incarnations.get(registered);
         known.or_else(|| self.all.get_key_value(registered).map(|(name, _)| name))
     }
 
-    /// One of them, to be changed. Its runs and its registration are changed by [`Self::hold`],
-    /// [`Self::confirm`], [`Self::drop_run`] and [`Self::register`] instead, which keep the indices.
+    /// The executor of that name, marked as changed.
+    ///
+    /// Change its runs and registration by [`Self::insert_run`], [`Self::confirm`],
+    /// [`Self::drop_run`] and [`Self::update_registration`] instead, which update the indices.
     pub fn get_mut(&mut self, executor: &ExecutorName) -> Option<&mut Executor> {
         let known = self.all.get_mut(executor)?;
         if !known.is_marked_changed {
@@ -58,32 +61,32 @@
         Some(known)
     }
 
-    /// All of them by name.
+    /// All executors in the order of their names.
     pub fn iter(&self) -> btree_map::Iter<'_, ExecutorName, Executor> {
         self.all.iter()
     }
 
-    /// All of them.
+    /// All executors, without their names.
     pub fn values(&self) -> btree_map::Values<'_, ExecutorName, Executor> {
         self.all.values()
     }
 
-    /// How many there are.
+    /// The number of executors.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there are none.
+    /// Whether no executor is known.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The names of all.
+    /// The names of all executors.
     pub fn keys(&self) -> btree_map::Keys<'_, ExecutorName, Executor> {
         self.all.keys()
     }
 
-    /// Those of a pool.
+    /// The executors of a pool.
     pub fn of_pool(&self, pool: &PoolName) -> impl Iterator<Item = (&ExecutorName, &Executor)> {
         let names = self.by_pool.get(pool).into_iter().flatten();
         names.filter_map(|name| self.all.get_key_value(name))
@@ -94,22 +97,22 @@
         self.by_pool.keys()
     }
 
-    /// Where the runs of a job are, or may be.
+    /// The executors and tasks of a job's runs, including runs that may not exist.
     pub fn runs_of(&self, job: &JobName) -> impl Iterator<Item = &(ExecutorName, TaskKey)> {
         self.runs_by_job.get(job).into_iter().flatten()
     }
 
-    /// What callers' runs use on all executors.
+    /// What the runs of each caller use on all executors together.
     pub fn usage(&self) -> &Usage {
         &self.usage
     }
 
-    /// Those that may look different, without taking note of it.
+    /// Executors that may have changed since [`Self::take_changed`], which stay marked.
     pub fn changed(&self) -> impl Iterator<Item = &ExecutorName> {
         self.changed.iter()
     }
 
-    /// Those that may look different since this was asked last.
+    /// Executors that may have changed since the last call, which are unmarked.
     pub fn take_changed(&mut self) -> Vec<ExecutorName> {
         let changed = std::mem::take(&mut self.changed);
         for executor in &changed {
@@ -120,12 +123,12 @@
         changed
     }
 
-    /// Pools that executors have left since this was asked last, and who.
+    /// Executors that have left a pool since the last call, each with that pool.
     pub fn take_departed(&mut self) -> Vec<(PoolName, ExecutorName)> {
         std::mem::take(&mut self.departed)
     }
 
-    /// Takes in how an executor is registered now.
+    /// Replaces the registration of a known executor.
     pub fn update_registration(&mut self, registration: Registration) -> Option<&mut Executor> {
         let name = registration.executor.clone();
         let before = self.all.get(&name)?.registration.pool.clone();
@@ -139,7 +142,7 @@
         Some(known)
     }
 
-    /// Adds an executor.
+    /// Adds an executor, replacing one of the same name.
     pub fn insert(&mut self, mut executor: Executor) {
         let name = executor.registration.executor.clone();
         self.remove(&name);
@@ -147,8 +150,8 @@
         self.by_pool.entry(pool).or_default().insert(name.clone());
         for (task, held) in &executor.runs {
             charge(&mut self.usage, held);
-            let holders = self.runs_by_job.entry(task.job.clone()).or_default();
-            holders.insert((name.clone(), task.clone()));
+            let runs = self.runs_by_job.entry(task.job.clone()).or_default();
+            runs.insert((name.clone(), task.clone()));
         }
         executor.is_marked_changed = true;
         self.changed.push(name.clone());
@@ -156,7 +159,7 @@
         self.all.insert(name, executor);
     }
 
-    /// Drops an executor.
+    /// Removes an executor and its runs.
     pub fn remove(&mut self, executor: &ExecutorName) {
         let Some(known) = self.all.remove(executor) else { return };
         let registered = life::registered(executor);
@@ -170,17 +173,17 @@
         }
     }
 
-    /// An executor has a run of a task, or may have.
+    /// Adds a run that an executor has or may have.
     pub fn insert_run(&mut self, executor: &ExecutorName, task: &TaskKey, held: HeldRun) {
         self.drop_run(executor, task);
         let Some(known) = self.all.get_mut(executor) else { return };
         charge(&mut self.usage, &held);
         known.add_run(task.clone(), held);
-        let holders = self.runs_by_job.entry(task.job.clone()).or_default();
-        holders.insert((executor.clone(), task.clone()));
+        let runs = self.runs_by_job.entry(task.job.clone()).or_default();
+        runs.insert((executor.clone(), task.clone()));
     }
 
-    /// An executor has confirmed or listed a run.
+    /// Marks a run as confirmed: the executor has accepted its start or listed it.
     pub fn confirm(&mut self, executor: &ExecutorName, task: &TaskKey) {
         let held = self.all.get_mut(executor).and_then(|known| known.runs.get_mut(task));
         let Some(held) = held.filter(|held| !held.confirmed) else { return };
@@ -190,7 +193,7 @@
         }
     }
 
-    /// An executor has no run of a task any more.
+    /// Removes the run of a task that an executor no longer has.
     pub fn drop_run(&mut self, executor: &ExecutorName, task: &TaskKey) -> Option<HeldRun> {
         let held = self.get_mut(executor)?.remove_run(task)?;
         discharge(&mut self.usage, &held);
@@ -208,9 +211,9 @@
     }
 
     fn forget_run(&mut self, executor: &ExecutorName, task: &TaskKey) {
-        let Some(holders) = self.runs_by_job.get_mut(&task.job) else { return };
-        holders.remove(&(executor.clone(), task.clone()));
-        if holders.is_empty() {
+        let Some(runs) = self.runs_by_job.get_mut(&task.job) else { return };
+        runs.remove(&(executor.clone(), task.clone()));
+        if runs.is_empty() {
             self.runs_by_job.remove(&task.job);
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -1,4 +1,4 @@
-//! What the leader believes of each executor.
+//! The leader's view of each executor and of the runs there.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,65 +14,65 @@
     task::TaskKey,
 };
 
-/// What is known of a run on an executor.
+/// The phase of a run, as far as the leader knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its assignment is being stored; nothing was sent.
+    /// The assignment is being stored; no order has been sent.
     Recorded,
-    /// The order to start it is on its way.
+    /// The start order is in flight.
     Sent,
     /// The executor runs it.
     Active,
-    /// An earlier leader assigned it: the executor has not been looked at since.
+    /// An earlier leader assigned it, and this leader has not polled the executor yet.
     Inherited,
-    /// The order got no answer: the run may be there, or may come later.
+    /// The start order got no response: the run may exist or may still start.
     Unsure,
-    /// It is being stopped; its room is taken until its end is listed.
+    /// It is being stopped; its capacity stays in use until its end is listed.
     Stopping,
 }
 
-/// A run that an executor has or may have.
+/// A run that exists or may exist on an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldRun {
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// The room that it takes.
+    /// The capacity that it reserves.
     pub size: Size,
-    /// Whose it is, and what it uses of that caller's quota.
+    /// The caller of its job, and what it uses of that caller's quota.
     pub charge: Option<Charge>,
-    /// It lasts until its job is cancelled.
+    /// Whether it runs until its job is cancelled.
     pub lasting: bool,
-    /// Its job could not be on time any more when it was placed.
+    /// Whether its job could no longer be on time when the run was placed.
     pub late: bool,
-    /// It uses what others leave.
+    /// Whether it uses processor time that other runs leave over.
     pub best_effort: bool,
-    /// The tail of response times that it must stay under.
+    /// The limit for the tail of its response times.
     pub target_tail: Option<Duration>,
-    /// What is known of it.
+    /// Its present phase.
     pub phase: Phase,
-    /// When that changed last.
+    /// When the phase last changed.
     pub phase_since: Time,
-    /// When the order to start it left; nothing if an earlier leader gave it.
+    /// When the start order was sent; `None` if an earlier leader sent it.
     pub start_sent: Option<Time>,
     /// When the executor confirmed the start.
     pub started: Time,
-    /// How far it is, as listed last.
+    /// Its progress, as last reported by the executor.
     pub percent: u8,
-    /// Its load or tail, as listed last.
+    /// Its recent load or tail of response times, as last reported by the executor.
     pub recent: u64,
-    /// The share of its speed at which it works, in percent; nothing if an earlier leader may have
-    /// changed it, or an order to change it got no answer.
+    /// Its speed limit in percent of its full speed; `None` if an earlier leader may have changed
+    /// it, or an order to change it got no response.
     pub speed_limit: Option<u8>,
-    /// The executor has confirmed or listed it.
+    /// Whether the executor has confirmed its start or listed it.
     pub confirmed: bool,
-    /// When an order to stop it left last.
+    /// When the last stop order was sent.
     pub stop_sent: Option<Time>,
-    /// When the order to stop it was answered: from then on the executor will not start it.
+    /// When a stop order got a response; from then on the executor will not start the run.
     pub stop_confirmed: Option<Time>,
 }
 
 impl HeldRun {
-    /// A run that takes no room and is nobody's, as of now in this phase.
+    /// A run in the given phase that uses no capacity and no caller's quota.
     pub(super) fn new(run: u32, phase: Phase, now: Time) -> Self {
         Self {
             run,
@@ -88,7 +88,7 @@
             started: now,
             percent: 0,
             recent: 0,
-            // Whatever pace an earlier leader may have given is not known.
+            // The speed limit that an earlier leader may have set is not known.
             speed_limit: (phase == Phase::Recorded).then_some(FULL_PACE),
             confirmed: false,
             stop_sent: None,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether a look that left at `sent` and did not list the run proves that it is not there and
-    /// will not come.
+    /// Whether a poll that was sent at `sent` and did not list the run proves that the run does not
+    /// exist and will not start.
     pub fn absence_proves_end(&self, sent: Time) -> bool {
         match self.phase {
             Phase::Recorded | Phase::Sent => false,
-            // The executor has seen a newer token: it refuses whatever an earlier leader has sent.
+            // The executor has seen a newer fencing token and refuses orders of earlier leaders.
             Phase::Inherited => true,
             Phase::Active => self.phase_since < sent,
             Phase::Stopping if self.confirmed => self.phase_since < sent,
@@ -111,22 +111,22 @@
         }
     }
 
-    /// Whether the order to start the run may yet be carried out by a later life of its executor,
-    /// which was seen to be away at `away`, if it was.
+    /// Whether a later incarnation of the executor may still carry out the start order.
     ///
-    /// A confirmed start went to the life that confirmed it. A call that had ended while nobody was
-    /// there came to nothing, and so has whatever an earlier leader had sent.
-    pub fn may_start_later(&self, away: Option<Time>) -> bool {
+    /// `absent_at` is a moment at which no incarnation was running, if one is known. A confirmed
+    /// start belongs to the incarnation that confirmed it. Calls that ended by `absent_at` had no
+    /// effect, nor had any order of an earlier leader.
+    pub fn may_start_later(&self, absent_at: Option<Time>) -> bool {
         match self.phase {
             Phase::Recorded | Phase::Active => false,
             Phase::Sent => true,
-            Phase::Inherited => away.is_none(),
-            Phase::Unsure => away.is_none_or(|away| self.phase_since >= away),
+            Phase::Inherited => absent_at.is_none(),
+            Phase::Unsure => absent_at.is_none_or(|absent| self.phase_since >= absent),
             Phase::Stopping => !self.confirmed,
         }
     }
 
-    /// The same run, as it may be on a later life of its executor.
+    /// The same run, as it may exist on a later incarnation of its executor.
     pub(super) fn carried_over(&self, now: Time) -> Self {
         let phase = match self.phase {
             Phase::Inherited | Phase::Stopping => self.phase,
@@ -143,85 +143,86 @@
         }
     }
 
-    /// Whether the run does its work at this moment.
+    /// Whether the run is doing its work; a lasting one does so once it reports full progress.
     pub fn is_at_work(&self) -> bool {
         self.phase == Phase::Active && (!self.lasting || self.percent >= 100)
     }
 }
 
-/// How looking at an executor goes.
+/// The state of the polls of one executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollState {
-    /// A look that may wait for an end is on its way.
+    /// Whether a poll that may wait for the end of a run is in flight.
     pub long_poll_in_flight: bool,
-    /// A look that is answered at once is on its way.
+    /// Whether a poll that the executor answers without waiting is in flight.
     pub immediate_poll_in_flight: bool,
-    /// Looks in a row that got no answer.
+    /// The number of consecutive polls that got no response.
     pub failures: u32,
-    /// No look before this time.
+    /// The end of the present backoff: no poll is sent earlier.
     pub not_before: Time,
-    /// When the newest look that was answered had left.
+    /// When the newest poll that got a response was sent.
     pub last_answered_sent: Option<Time>,
-    /// Since when calls have got no answer.
+    /// Since when calls have got no response.
     pub silent_since: Option<Time>,
 }
 
-/// An executor as the leader knows it.
+/// The leader's view of one incarnation of an executor.
 #[derive(Clone, Debug)]
 pub struct Executor {
-    /// How it is registered, or was last.
+    /// Its present or last registration.
     pub registration: Registration,
-    /// It is registered now.
+    /// Whether it is registered at present.
     pub is_registered: bool,
-    /// It is known by an earlier leader's orders alone, and has never been registered since.
+    /// Whether it is known only from orders of earlier leaders, and has not been registered since.
     pub known_from_ledger_only: bool,
-    /// Its life is over. It is kept for runs that a later life under its name may yet start.
+    /// Whether this incarnation has ended. It is kept for runs that a later incarnation may still
+    /// start.
     pub ended: bool,
-    /// Since when it is known.
+    /// When this leader learned of it.
     pub known_since: Time,
-    /// It has answered a look under this leader's fencing token, so every older order that is
-    /// still on its way will be refused and what it runs is known.
+    /// Whether it has answered a poll with this leader's fencing token. From then on it refuses
+    /// orders of earlier leaders that are still in flight, and its runs are known.
     pub fenced: bool,
     /// The newest reading of its clock.
     pub clock: Option<ClockReading>,
-    /// The longest lease that any order carried, by its clock.
+    /// The latest lease end that any order has carried, by the clock of the executor.
     pub lease_until_ms: u64,
-    /// The highest number of an end that was taken in.
+    /// The highest number of an ended run that was processed.
     pub processed_end: u64,
-    /// Ends up to this number are stored and may be acknowledged.
+    /// Ended runs up to this number are stored and may be acknowledged.
     pub stored_end: u64,
-    /// Ends up to this number were acknowledged by a look that was answered.
+    /// Ended runs up to this number were acknowledged by a poll that got a response.
     pub acknowledged_end: u64,
-    /// Until when runs that an earlier leader started may be there, while its clock is not known.
+    /// Until when runs of an earlier leader may exist, used while the executor's clock is unknown.
     pub inherited_until: Option<Time>,
-    /// How looking at it goes.
+    /// The state of its polls.
     pub polling: PollState,
-    /// What it has or may have.
+    /// The runs that it has or may have.
     pub runs: BTreeMap<TaskKey, HeldRun>,
-    /// What it had when its lease ended. It may have crashed or have been cut off; nothing once it
-    /// has answered again.
+    /// The runs that it had when its lease expired, by a crash or a lost connection. Empty once it
+    /// has responded again.
     pub expired_runs: Vec<LostRun>,
-    /// The room that these take together.
+    /// The capacity that `runs` use together.
     used: Size,
-    /// It stands in the table's list of those that have changed.
+    /// Whether it is in the table's list of changed executors.
     pub(super) is_marked_changed: bool,
-    /// It runs something that nobody wants and whose size is not known: until that has ended,
-    /// there may be less room than it seems, and an executor that guards nothing would be overfilled.
+    /// Whether it has orphan runs. Their size is unknown: until they have ended, it may have less
+    /// free capacity than computed, and an executor that enforces no limits would be overcommitted.
     pub has_orphan_runs: bool,
-    /// Whether it deserves work.
+    /// The circuit breaker, which opens after failures.
     pub circuit_breaker: Trust,
-    /// It refused something for want of room: nothing new before this time.
+    /// Until when nothing new is placed, after it refused a start for lack of capacity.
     pub full_until: Time,
-    /// A task under which executors crash has been started on it: nothing new before this time.
+    /// Until when nothing new is placed, after an isolated suspect was started there.
     pub isolated_until: Time,
-    /// Its host is to be emptied: nothing new is placed on it.
+    /// Whether its host is being drained: nothing new is placed on it.
     pub host_draining: bool,
-    /// Since when it has had nothing to run.
+    /// Since when it has had no run.
     pub idle_since: Time,
 }
 
 impl Executor {
-    /// An executor that was just noticed.
+    /// A registered executor that the leader has just learned of.
     pub fn new(registration: Registration, now: Time) -> Self {
         Self {
             registration,
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Whom to address.
+    /// The recipient of orders for it.
     pub fn recipient(&self) -> Recipient {
         Recipient {
             executor: self.registration.executor.clone(),
@@ -258,43 +259,44 @@
         }
     }
 
-    /// The room that runs take or may take.
+    /// The capacity that its runs use or may use.
     pub fn used(&self) -> Size {
         self.used
     }
 
-    /// It has a run, or may have.
+    /// Adds a run that it has or may have.
     pub fn add_run(&mut self, task: TaskKey, held: HeldRun) {
         self.remove_run(&task);
         self.used += held.size;
         self.runs.insert(task, held);
     }
 
-    /// It has a run no more.
+    /// Removes a run that it no longer has.
     pub fn remove_run(&mut self, task: &TaskKey) -> Option<HeldRun> {
         let held = self.runs.remove(task)?;
         self.used = self.used.less(&held.size);
         Some(held)
     }
 
-    /// The room that is left.
+    /// The free capacity.
     pub fn free(&self) -> Size {
         self.registration.capacity.less(&self.used())
     }
 
-    /// The room that would be left without one of its runs.
+    /// The capacity that would be free without one of its runs.
     pub fn free_without(&self, held: &HeldRun) -> Size {
         self.registration.capacity.less(&self.used.less(&held.size))
     }
 
-    /// For how long a run is known to have been there without a crash.
+    /// The time for which a run is known to have existed without a crash of the executor.
     pub fn min_run_age(&self, held: &HeldRun) -> Duration {
-        let heard = self.clock.map(|clock| clock.received);
-        let heard = heard.filter(|_| matches!(held.phase, Phase::Active | Phase::Stopping));
-        heard.map_or(Duration::ZERO, |heard| heard.since(held.started))
+        let last_contact = self.clock.map(|clock| clock.received);
+        let last_contact =
+            last_contact.filter(|_| matches!(held.phase, Phase::Active | Phase::Stopping));
+        last_contact.map_or(Duration::ZERO, |contact| contact.since(held.started))
     }
 
-    /// Whether new runs may be placed on it.
+    /// Whether new runs may be placed on it at present.
     pub fn accepts_runs(&self, now: Time) -> bool {
         self.is_schedulable(now)
             && now >= self.full_until
@@ -302,7 +304,7 @@
             && self.polling.failures == 0
     }
 
-    /// Whether new runs may be placed on it once there is room.
+    /// Whether new runs may be placed on it once it has capacity and answers polls.
     pub fn is_schedulable(&self, now: Time) -> bool {
         self.is_registered
             && self.fenced
@@ -312,12 +314,12 @@
             && self.circuit_breaker.allows(now)
     }
 
-    /// Whether the passing of time alone may open it again.
+    /// Whether it may accept runs again by the mere passing of time, without an event.
     pub fn recovers_with_time(&self, now: Time) -> bool {
         now < self.full_until || now < self.isolated_until || self.circuit_breaker.is_doubted()
     }
 
-    /// When the last lease that it may have has ended for certain.
+    /// When the last lease that it may hold has certainly expired.
     pub fn lease_expiry(&self) -> Option<Time> {
         match self.clock {
             Some(clock) => Some(clock.latest(self.lease_until_ms)),
@@ -325,14 +327,14 @@
         }
     }
 
-    /// Whether an answer to a call that left at `sent` shows that a later life gave it: the clock
-    /// of each life begins anew.
+    /// Whether the clock in the response to a call sent at `sent` shows that another incarnation
+    /// has responded: the clock of each incarnation starts anew.
     pub fn is_other_incarnation(&self, sent: Time, clock_ms: u64) -> bool {
         let may_return = life::born(&self.registration.executor).is_some();
         may_return && self.clock.is_some_and(|clock| clock_ms < clock.earliest(sent))
     }
 
-    /// Takes in a reading of its clock.
+    /// Stores a reading of its clock.
     pub fn read_clock(&mut self, now: Time, clock_ms: u64) {
         self.clock = Some(ClockReading { received: now, clock_ms });
     }
