--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -54,8 +54,8 @@
         }
         self.stirred.insert(pool);
         self.touched.insert(ended.task.job.clone());
-        if let Some(times) = self.times.get_mut(&ended.task.job) {
-            times.begun = true;
+        if let Some(job_state) = self.times.get_mut(&ended.task.job) {
+            job_state.begun = true;
         }
         self.log("run-ended", &ended.task, || {
             format!("run={} executor={executor} how={}", ended.run, ended.how)
@@ -76,12 +76,11 @@
     /// failed on another executor: then the task itself is the likelier cause.
     fn note_failure(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let failed_before = self.ledger.task(task).is_some_and(|state| state.failures > 0);
-        let job_suspected = self
-            .times
-            .get(&task.job)
-            .is_some_and(|times| times.failed_on.as_ref().is_some_and(|other| other != executor));
-        if let Some(times) = self.times.get_mut(&task.job) {
-            times.failed_on.get_or_insert_with(|| executor.clone());
+        let job_suspected = self.times.get(&task.job).is_some_and(|job_state| {
+            job_state.failed_on.as_ref().is_some_and(|other| other != executor)
+        });
+        if let Some(job_state) = self.times.get_mut(&task.job) {
+            job_state.failed_on.get_or_insert_with(|| executor.clone());
         }
         if failed_before || job_suspected {
             return;
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -304,7 +304,8 @@
             && self.polling.failures == 0
     }
 
-    /// Whether new runs may be placed on it once it has capacity and answers polls.
+    /// Whether new runs may be placed on it, but for passing reasons: a lack of capacity, an
+    /// isolated suspect, or polls without a response.
     pub fn is_schedulable(&self, now: Time) -> bool {
         self.is_registered
             && self.fenced
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -1,6 +1,6 @@
-//! Tells operators why things are as they are, and what the leader believes.
+//! Explanations of the scheduler's state for operators.
 //!
-//! Nothing here decides: each sentence names what a decision elsewhere looks at.
+//! Nothing is decided here: each line names the inputs of a decision that is made elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -20,11 +20,11 @@
     task::StepKey,
 };
 
-/// The most runs that are named of one step: an answer has to fit into one message, and nobody
+/// The most runs that are listed for one step: a response has to fit into one message, and nobody
 /// reads thousands of lines.
-const MOST_RUNS: usize = 50;
+const MAX_LISTED_RUNS: usize = 50;
 
-/// What an operator asks about.
+/// The object of an operator's request for an explanation.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, derive_more::Display,
 )]
@@ -40,48 +40,48 @@
     Wave(u64),
 }
 
-/// What the leader believes, in figures.
+/// A summary of the leader's state.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct StateDump {
-    /// For how long it has led, in milliseconds.
+    /// How long the leader has been in office, in milliseconds.
     pub leads_for_ms: u64,
     /// The version of the configuration in force.
     pub config_version: Option<u64>,
-    /// Jobs that have not ended, by pool.
+    /// The number of jobs that have not ended, by pool.
     pub open_jobs: BTreeMap<PoolName, usize>,
-    /// Jobs that have ended and are still shown.
+    /// The number of ended jobs whose outcome is still kept.
     pub ended_jobs: usize,
-    /// A sentence for each executor.
+    /// A line for each executor.
     pub executors: Vec<String>,
-    /// Hosts in the platform's list, and how old it is in milliseconds.
+    /// The number of hosts in the platform's list.
     pub hosts: usize,
-    /// The age of that list.
+    /// The age of the host list in milliseconds.
     pub hosts_age_ms: Option<u64>,
-    /// Hosts that are taken out of service, with what for and how far.
+    /// A line for each host that is being taken out of service, with the purpose and the stage.
     pub withdrawals: Vec<String>,
-    /// Waves that are not completed.
+    /// Maintenance waves that are not completed.
     pub open_waves: Vec<u64>,
-    /// Runs that executors have or may have.
+    /// The number of runs that executors have or may have.
     pub runs: usize,
-    /// Callers that use anything, with their quota and share.
+    /// The callers that use any capacity, with their quota and share.
     pub callers: BTreeMap<CallerName, CallerDump>,
 }
 
-/// What the leader believes of a caller.
+/// A summary of one caller's use.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct CallerDump {
-    /// What its tasks use.
+    /// The capacity that its tasks use.
     pub used: Size,
-    /// What they may use at once; 0 sets no limit.
+    /// The capacity that they may use at once; 0 sets no limit.
     pub quota: Size,
-    /// How many jobs a second are its share.
+    /// Its share, in jobs a second.
     pub weight: f64,
-    /// How many orders to start its tasks are unanswered.
+    /// The number of start orders for its tasks without a response.
     pub on_way: u32,
 }
 
 impl Scheduler {
-    /// Why something is as it is, a sentence a line; nothing if it is not known here.
+    /// Explains the state of a job, host or wave, one statement per line; empty if it is unknown.
     pub fn explain(&self, now: Now, subject: &Subject) -> Vec<String> {
         match subject {
             Subject::Job(job) => self.explain_job(now, job),
@@ -90,11 +90,11 @@
         }
     }
 
-    /// What the leader believes, in figures.
+    /// Summarises the leader's state.
     pub fn dump(&self, now: Now) -> StateDump {
         let mut open_jobs: BTreeMap<PoolName, usize> = BTreeMap::new();
-        for times in self.times.values() {
-            *open_jobs.entry(times.pool.clone()).or_default() += 1;
+        for job_state in self.times.values() {
+            *open_jobs.entry(job_state.pool.clone()).or_default() += 1;
         }
         let executors = self.executors.iter().map(|(name, known)| {
             let (runs, free) = (known.runs.len(), known.free().cpu_milli);
@@ -143,18 +143,20 @@
             lines.extend(self.ledger.given_up.get(name).map(ToString::to_string));
             return lines;
         }
-        let (Some(job), Some(times)) = (self.ledger.jobs.get(name), self.times.get(name)) else {
+        let (Some(job), Some(job_state)) = (self.ledger.jobs.get(name), self.times.get(name))
+        else {
             return Vec::new();
         };
-        let age = now.time.since(times.accepted).as_millis();
+        let age = now.time.since(job_state.accepted).as_millis();
         let queue = &job.submission.queue.name;
-        let mut lines = vec![format!("accepted {age} ms ago, queue {queue}, pool {}", times.pool)];
+        let mut lines =
+            vec![format!("accepted {age} ms ago, queue {queue}, pool {}", job_state.pool)];
         if job.progress.open.is_empty() {
             lines.push(format!("{} occurrences have begun, none is due", job.progress.begun));
         }
         lines.extend(self.explain_suspects(name));
         for (&occurrence, open) in &job.progress.open {
-            let urgency = Urgency::of(&self.view_of(job, times, occurrence), now.time);
+            let urgency = Urgency::of(&self.view_of(job, job_state, occurrence), now.time);
             lines.push(format!("occurrence {occurrence}: urgency {:?}", urgency.class()));
             for (number, state) in open.steps.iter().enumerate() {
                 let key = StepKey { job: name.clone(), occurrence, step: number as u16 };
@@ -164,9 +166,9 @@
         lines
     }
 
-    /// Under which tasks of a job executors have crashed, and how these are treated for that.
+    /// Lists the tasks of a job under which executors have crashed, and how they are treated.
     fn explain_suspects(&self, name: &JobName) -> Vec<String> {
-        let suspects = self.ledger.suspects_of(name).take(MOST_RUNS);
+        let suspects = self.ledger.suspects_of(name).take(MAX_LISTED_RUNS);
         let lines = suspects.map(|(task, crashes)| {
             let treated = match Standing::of(crashes) {
                 Standing::Clear | Standing::Suspect => "kept away from other suspects",
@@ -209,12 +211,12 @@
             let (run, executor) = (assigned.run, &assigned.executor);
             Some(format!("step {number}: task {index} is run {run} on {executor}"))
         });
-        lines.extend(assigned.take(MOST_RUNS));
-        let held_back =
+        lines.extend(assigned.take(MAX_LISTED_RUNS));
+        let backing_off =
             |index: &u32| self.failed_starts.is_backing_off(now.time, &key.task(*index));
-        let held_back = (0..step.count).filter(held_back).count();
-        if held_back > 0 {
-            lines.push(format!("step {number}: {held_back} tasks wait after starts that failed"));
+        let backing_off = (0..step.count).filter(backing_off).count();
+        if backing_off > 0 {
+            lines.push(format!("step {number}: {backing_off} tasks wait after starts that failed"));
         }
         if waiting > 0 {
             lines.push(self.explain_waiting(now, key, step));
@@ -222,7 +224,7 @@
         lines
     }
 
-    /// Why no executor takes a task of a step at this moment.
+    /// Counts the executors of the pool by why each does not run the waiting tasks of a step.
     fn explain_waiting(&self, now: Now, key: &StepKey, step: &Step) -> String {
         let Some(pool) = self.pool_of(&key.job) else { return "no pool is known".to_owned() };
         if let Some(line) = self.explain_quota(key, step) {
@@ -249,7 +251,7 @@
         format!("a task needs {cpu} thousandths of a core and {memory} MB; executors: {counts}")
     }
 
-    /// That a step waits for its caller's quota, if it does.
+    /// Explains that a step waits for its caller's quota, if it does.
     fn explain_quota(&self, key: &StepKey, step: &Step) -> Option<String> {
         let charge = charge_of(self.ledger.jobs.get(&key.job)?, step)?;
         let quota = self.quota_of(&charge.caller)?;
@@ -305,7 +307,7 @@
     }
 }
 
-/// Why nothing new is placed on an executor, if that is so.
+/// Why nothing new is placed on an executor at present; `None` if it accepts runs.
 fn unschedulable_reason(known: &Executor, now: Now) -> Option<&'static str> {
     if known.accepts_runs(now.time) {
         return None;
--- a/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/failed_starts.rs
@@ -1,5 +1,4 @@
-//! Tasks whose starts have come to nothing wait before they are started again; for how long,
-//! [`crate::policy::start_pauses`] decides.
+//! Backoff of tasks whose starts have failed; [`crate::policy::start_pauses`] defines its length.
 
 use std::collections::BTreeMap;
 
@@ -18,43 +17,43 @@
     not_before: Time,
 }
 
-/// The starts that have come to nothing, by task, since one was confirmed.
+/// The consecutive failed starts of each task since its last confirmed run.
 #[derive(Debug, Default)]
 pub struct FailedStarts {
     by_task: BTreeMap<TaskKey, Backoff>,
 }
 
 impl FailedStarts {
-    fn note(&mut self, now: Time, task: &TaskKey) {
+    fn note_failure(&mut self, now: Time, task: &TaskKey) {
         let none = Backoff { failures: 0, not_before: now };
-        let failed = self.by_task.entry(task.clone()).or_insert(none);
-        failed.failures += 1;
-        failed.not_before = now + start_pauses::pause(failed.failures);
+        let backoff = self.by_task.entry(task.clone()).or_insert(none);
+        backoff.failures += 1;
+        backoff.not_before = now + start_pauses::pause(backoff.failures);
     }
 
-    /// Whether a task is not to be started yet.
+    /// Whether a task must wait before it is started again.
     pub(super) fn is_backing_off(&self, now: Time, task: &TaskKey) -> bool {
-        self.by_task.get(task).is_some_and(|failed| now < failed.not_before)
+        self.by_task.get(task).is_some_and(|backoff| now < backoff.not_before)
     }
 
-    /// Whether a member of a gang is not to be started yet, and so none of them.
+    /// Whether a gang must wait because one of its members must.
     pub(super) fn is_gang_backing_off(&self, now: Time, step: &WaitingStep) -> bool {
         let mut members = step.waiting.iter().map(|&index| step.key.task(index));
         !self.by_task.is_empty() && members.any(|member| self.is_backing_off(now, &member))
     }
 
-    /// A run of a task is known to be there.
+    /// Ends the backoff of a task whose run is known to exist.
     pub(super) fn confirmed(&mut self, task: &TaskKey) {
         self.by_task.remove(task);
     }
 }
 
 impl Scheduler {
-    /// Takes in what came of a start.
+    /// Updates the backoff of a task by the response to its start order.
     pub(super) fn note_start_response(&mut self, now: Now, task: &TaskKey, answer: StartAnswer) {
         match answer {
             StartAnswer::Started => self.failed_starts.confirmed(task),
-            // The leader or the executor is over; the task has nothing to do with it.
+            // The leader or the executor has been replaced, which says nothing about the task.
             StartAnswer::Fenced | StartAnswer::OtherLife => {}
             StartAnswer::Outdated
             | StartAnswer::Late
@@ -63,16 +62,16 @@
             | StartAnswer::Unhealthy
             | StartAnswer::Malformed
             | StartAnswer::NotSent
-            | StartAnswer::Lost => self.failed_starts.note(now.time, task),
+            | StartAnswer::Lost => self.failed_starts.note_failure(now.time, task),
         }
     }
 
-    /// A member of a gang has ended because the others did not come.
+    /// Records that a member of a gang has ended because the other members did not start.
     pub(super) fn note_gang_incomplete(&mut self, now: Now, task: &TaskKey) {
-        self.failed_starts.note(now.time, task);
+        self.failed_starts.note_failure(now.time, task);
     }
 
-    /// Drops what was noted of jobs that have ended.
+    /// Drops the backoff of tasks whose jobs have ended.
     pub(super) fn forget_failed_starts(&mut self) {
         let jobs = &self.ledger.jobs;
         self.failed_starts.by_task.retain(|task, _| jobs.contains_key(&task.job));
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -189,7 +189,7 @@
 
     /// Has an order stored as given; it leaves after that, so that whoever leads next knows of it.
     fn give_order(&mut self, now: Now, host: &HostName) {
-        if self.is_paused(now.time, host) || !self.may_call_hosts(now.time) {
+        if self.is_paused(now.time, host) || !self.take_host_call(now.time) {
             return;
         }
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs come, are cancelled, come due and end.
+//! The life cycle of jobs: submission, due occurrences, cancellation and completion.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,31 +22,31 @@
     task::TaskKey,
 };
 
-/// A job's end is of use until this many times the time in which it is on time.
+/// The completion of a job is useful until this multiple of its time objective has passed.
 const USEFUL_FACTOR: u32 = 3;
-/// How often outcomes that are old enough are dropped.
+/// How long outcomes are kept beyond their retention, so that they are dropped in batches.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What of a job's queue counts for it, and when it is due.
+/// The scheduling state of a job: the settings of its queue, its age and its progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobState {
     /// The pool that runs its tasks.
     pub pool: PoolName,
-    /// 0 comes first.
+    /// The priority of its queue; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail.
+    /// The number of failures of one task at which the job fails.
     pub max_attempts: u16,
-    /// It is on time within this many times its longest chain of work, ..
+    /// The factor of its longest chain of work within which the job is on time.
     pub stretch: f64,
-    /// .. and so much more.
+    /// The time that is added to that product.
     pub allowance: Duration,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted: Time,
-    /// An executor on which one of its tasks failed.
+    /// The first executor on which one of its tasks failed.
     pub failed_on: Option<ExecutorName>,
-    /// An executor has confirmed or listed a run of it to this leader.
+    /// Whether an executor has confirmed, listed or ended one of its runs under this leader.
     pub begun: bool,
-    /// Its caller had handed in its share already when it came.
+    /// Whether its caller had already used up its share of jobs when the job was submitted.
     pub beyond_share: bool,
 }
 
@@ -70,7 +70,7 @@
     pub(super) fn submit(&mut self, now: Now, submission: Arc<Submission>) {
         let job = submission.job.clone();
         if self.ledger.finished.contains_key(&job) {
-            // Its caller sent it once more after its end; the copy in the store is not needed.
+            // The caller submitted the job again after its end; the stored copy is not needed.
             self.outbox.forget(job);
             return;
         }
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Notes whether a job is within its caller's share.
+    /// Charges a job to its caller's share, and marks it if it exceeds the share.
     fn note_share(&mut self, now: Now, submission: &Submission) {
         let Some(name) = &submission.caller else { return };
         let declared = self.config.as_ref().and_then(|config| config.callers.get(name));
@@ -110,13 +110,13 @@
         if within {
             return;
         }
-        if let Some(times) = self.times.get_mut(&submission.job) {
-            times.beyond_share = true;
+        if let Some(job_state) = self.times.get_mut(&submission.job) {
+            job_state.beyond_share = true;
         }
         self.log("beyond-share", &submission.job, || format!("caller={name} weight={weight}"));
     }
 
-    /// Works out when a job is due, from its queue as it stands now.
+    /// Derives the scheduling state of a job from the present settings of its queue.
     pub(super) fn init_job_state(&mut self, now: Now, submission: &Submission) {
         let age = Duration::from_millis(now.wall.0.saturating_sub(submission.accepted.0));
         let accepted =
@@ -127,19 +127,19 @@
         self.times.insert(submission.job.clone(), JobState::new(queue, accepted));
     }
 
-    /// Gives jobs what the configuration in force says of their queue.
+    /// Updates the scheduling state of all jobs from the configuration in force.
     pub(super) fn refresh_job_states(&mut self, now: Now) {
         let Some(config) = self.config.clone() else { return };
         let mut unknown = Vec::new();
         for (name, job) in &self.ledger.jobs {
             let queue = config.queues.get(&job.submission.queue.name);
             match self.times.get_mut(name) {
-                Some(times) => {
+                Some(job_state) => {
                     let Some(queue) = queue else { continue };
-                    let fresh = JobState::new(queue, times.accepted);
-                    let failed_on = times.failed_on.take();
-                    let JobState { begun, beyond_share, .. } = *times;
-                    *times = JobState { failed_on, begun, beyond_share, ..fresh };
+                    let fresh = JobState::new(queue, job_state.accepted);
+                    let failed_on = job_state.failed_on.take();
+                    let JobState { begun, beyond_share, .. } = *job_state;
+                    *job_state = JobState { failed_on, begun, beyond_share, ..fresh };
                 }
                 None => unknown.push(job.submission.clone()),
             }
@@ -158,11 +158,12 @@
         self.finish(now, job, queue, Outcome::Cancelled);
     }
 
-    /// Ends jobs all of whose tasks are done, or one of whose tasks has failed too often.
+    /// Finishes jobs that are done, have a task that failed too often, or were given up.
     pub(super) fn finish_jobs(&mut self, now: Now) {
         for name in std::mem::take(&mut self.touched) {
             let Some(job) = self.ledger.jobs.get(&name) else { continue };
-            let attempts = self.times.get(&name).map_or(u16::MAX, |times| times.max_attempts);
+            let attempts =
+                self.times.get(&name).map_or(u16::MAX, |job_state| job_state.max_attempts);
             let outcome = if job.is_done() {
                 Outcome::Completed
             } else if has_failed(job, attempts) || self.ledger.given_up.contains_key(&name) {
@@ -176,7 +177,7 @@
     }
 
     fn finish(&mut self, now: Now, job: &JobName, queue: QueueName, outcome: Outcome) {
-        let took = self.times.get(job).map(|times| now.time.since(times.accepted));
+        let took = self.times.get(job).map(|job_state| now.time.since(job_state.accepted));
         self.log("job-ended", job, || {
             format!(
                 "queue={queue} outcome={outcome} took_ms={}",
@@ -194,7 +195,7 @@
         self.stop_all_of(now, job);
     }
 
-    /// The runs of a job that go on counting for its caller's quota when it ends.
+    /// The runs of a job that still count for its caller's quota after the job has ended.
     fn leftovers_of(&self, job: &JobName) -> Vec<Record> {
         let runs = self.executors.runs_of(job).filter_map(|(executor, task)| {
             let held = self.executors.get(executor)?.runs.get(task)?;
@@ -206,7 +207,7 @@
         runs.collect()
     }
 
-    /// Begins occurrences of timed jobs that are due.
+    /// Begins the due occurrences of jobs with a schedule.
     pub(super) fn begin_due_occurrences(&mut self, now: Now) {
         let mut due = Vec::new();
         for (name, job) in &self.ledger.jobs {
@@ -244,24 +245,24 @@
         self.learned.observe(&queue, declared, now.time.since(held.started));
     }
 
-    /// What the order of jobs depends on.
-    pub(super) fn view_of(&self, job: &Job, times: &JobState, occurrence: u32) -> JobView {
+    /// The inputs of the order in which occurrences of jobs are placed.
+    pub(super) fn view_of(&self, job: &Job, job_state: &JobState, occurrence: u32) -> JobView {
         let spec = &job.submission.spec;
         let queue = &job.submission.queue.name;
         let expect = |declared| self.learned.expect(queue, declared);
         let whole = longest_chain(spec, None, expect);
         let open = job.progress.open.get(&occurrence);
         let remaining = longest_chain(spec, open, expect);
-        let objective = whole.mul_f64(times.stretch) + times.allowance;
+        let objective = whole.mul_f64(job_state.stretch) + job_state.allowance;
         let begin = match spec.schedule {
-            // What matters is the order among jobs of the queue, so the due time need not be exact.
-            Some(schedule) => times.accepted + schedule.interval * occurrence,
-            None => times.accepted,
+            // Only the order among jobs of the queue matters, so the due time need not be exact.
+            Some(schedule) => job_state.accepted + schedule.interval * occurrence,
+            None => job_state.accepted,
         };
         JobView {
             lasting: spec.is_lasting(),
-            beyond_share: times.beyond_share,
-            priority: times.priority,
+            beyond_share: job_state.beyond_share,
+            priority: job_state.priority,
             accepted: begin,
             deadline: begin + objective,
             useful_until: begin + objective * USEFUL_FACTOR,
@@ -279,13 +280,15 @@
     })
 }
 
-/// The longest chain of work of a job, or of what is left of an occurrence.
+/// The expected duration of the longest chain of steps of a job, or of what remains of the
+/// occurrence `open`.
 fn longest_chain<F>(spec: &JobSpec, open: Option<&Occurrence>, expect: F) -> Duration
 where
     F: Fn(Duration) -> Duration,
 {
     let mut ends = vec![Duration::ZERO; spec.steps.len()];
-    // Steps may wait for later ones, so the ends settle after as many rounds as a chain has steps.
+    // Steps may depend on steps with higher numbers, so it takes as many rounds as the longest chain
+    // has steps until the ends no longer change.
     for _ in 0..spec.steps.len() {
         let mut changed = false;
         for (number, step) in spec.steps.iter().enumerate() {
--- a/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
@@ -1,8 +1,8 @@
-//! Runs on executors that cannot be reached.
+//! Release of runs on executors that cannot be reached or have ended.
 //!
-//! An executor that is cut off goes on working until its lease ends. A task that it has is started
-//! elsewhere only after the latest moment at which that can be: earlier, the work would be done
-//! twice, and a caller paid or charged twice.
+//! An executor that is cut off keeps working until its lease expires. Its tasks are started
+//! elsewhere only after the latest time at which the lease can expire: earlier, the work would be
+//! done twice, and a caller paid or charged twice.
 
 use borageswitch_types::names::ExecutorName;
 
@@ -19,22 +19,22 @@
 };
 
 impl Scheduler {
-    /// Frees the tasks of executors whose lease has ended for certain.
+    /// Releases the runs of executors whose lease has certainly expired.
     pub(super) fn release_expired(&mut self, now: Now) {
-        let lapsed: Vec<ExecutorName> = self
+        let expired: Vec<ExecutorName> = self
             .executors
             .iter()
             .filter(|(_, known)| !known.runs.is_empty())
-            .filter(|(_, known)| known.lease_expiry().is_some_and(|lapse| lapse < now.time))
+            .filter(|(_, known)| known.lease_expiry().is_some_and(|expiry| expiry < now.time))
             .map(|(executor, _)| executor.clone())
             .collect();
-        for executor in lapsed {
+        for executor in expired {
             self.release_expired_runs(now, &executor);
         }
     }
 
     fn release_expired_runs(&mut self, now: Now, executor: &ExecutorName) {
-        let seen_up = self.fleet.seen_up(executor);
+        let listed_up = self.fleet.seen_up(executor);
         let Some(known) = self.executors.get_mut(executor) else { return };
         let tasks: Vec<TaskKey> = known
             .runs
@@ -45,9 +45,9 @@
         if tasks.is_empty() {
             return;
         }
-        // What it runs must be looked up before it is used again.
+        // It must be polled for its runs before it is used again.
         known.fenced = false;
-        let lost = lost_runs(known, seen_up, now.time);
+        let lost = lost_runs(known, listed_up, now.time);
         known.expired_runs.extend(lost);
         self.log("lease-ended", executor, || format!("runs={}", tasks.len()));
         for task in tasks {
@@ -55,24 +55,24 @@
         }
     }
 
-    /// An executor's life is over for certain: nothing of it runs any more.
+    /// Handles the certain end of an executor's incarnation, none of whose runs still exist.
     ///
-    /// Where it may start again under its name, an order that is still on its way may be carried
-    /// out by its next life. Such runs are kept until that one is known or their lease has ended;
-    /// started elsewhere before, they would run twice.
+    /// If the executor may start again under its name, its next incarnation may carry out start
+    /// orders that are still in flight. Runs of such orders are kept until the next incarnation is
+    /// known or their lease has expired; started elsewhere earlier, they could run twice.
     pub(super) fn end_incarnation(
         &mut self,
         now: Now,
         executor: &ExecutorName,
-        ending: EndDetection,
+        detection: EndDetection,
     ) {
-        let (why, away) = (ending.why(), ending.absent_at());
-        self.note_executor_end(now, executor, ending);
+        let (why, absent_at) = (detection.why(), detection.absent_at());
+        self.note_executor_end(now, executor, detection);
         let Some(known) = self.executors.get(executor) else { return };
         let may_return = life::born(executor).is_some();
-        let over = known.runs.iter().filter(|(_, h)| !may_return || !h.may_start_later(away));
-        let over: Vec<TaskKey> = over.map(|(task, _)| task.clone()).collect();
-        for task in over {
+        let ended = known.runs.iter().filter(|(_, h)| !may_return || !h.may_start_later(absent_at));
+        let ended: Vec<TaskKey> = ended.map(|(task, _)| task.clone()).collect();
+        for task in ended {
             self.release_run(executor, &task, why);
         }
         if self.executors.get(executor).is_some_and(|known| known.runs.is_empty()) {
@@ -81,23 +81,23 @@
         }
     }
 
-    /// Notes once how an executor's life has ended, and what it ran.
-    fn note_executor_end(&mut self, now: Now, executor: &ExecutorName, ending: EndDetection) {
-        let seen_up = self.fleet.seen_up(executor);
+    /// Records once how an incarnation has ended, and what it was running.
+    fn note_executor_end(&mut self, now: Now, executor: &ExecutorName, detection: EndDetection) {
+        let listed_up = self.fleet.seen_up(executor);
         let known = self.executors.get_mut(executor).filter(|known| !known.ended);
         let Some(known) = known else { return };
         known.is_registered = false;
         known.ended = true;
-        let ended = EndedExecutor::new(known, ending, seen_up, now.time);
+        let ended = EndedExecutor::new(known, detection, listed_up, now.time);
         self.log("executor-ended", executor, || ended.to_string());
         self.ended_executors.push(ended);
     }
 
-    /// An executor has started again under its name. Runs whose start may have met the later life
-    /// are looked for there, all others of the earlier one are over.
+    /// Handles the restart of an executor under its name: moves runs that the later incarnation may
+    /// have started to that one, and releases all others.
     pub(super) fn carry_over(&mut self, now: Now, before: &ExecutorName, next: &ExecutorName) {
-        let fate = self.fleet.fate_of(before);
-        self.note_executor_end(now, before, EndDetection::Restarted(fate.clone()));
+        let host = self.fleet.fate_of(before);
+        self.note_executor_end(now, before, EndDetection::Restarted(host.clone()));
         let Some(known) = self.executors.get(before) else { return };
         let inherited_until = known.inherited_until;
         let runs = known.runs.iter().filter(|(_, held)| held.may_start_later(None));
@@ -110,7 +110,7 @@
         for (task, held) in runs {
             self.carry_run(now, before, next, &task, held);
         }
-        self.end_incarnation(now, before, EndDetection::Restarted(fate));
+        self.end_incarnation(now, before, EndDetection::Restarted(host));
     }
 
     fn carry_run(
@@ -122,7 +122,7 @@
         held: HeldRun,
     ) {
         let run = held.run;
-        let stops = held.phase == Phase::Stopping;
+        let is_stopping = held.phase == Phase::Stopping;
         self.executors.drop_run(before, task);
         self.executors.insert_run(next, task, held);
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
@@ -130,12 +130,12 @@
             let executor = next.clone();
             self.record(Record::Assigned { task: task.clone(), run, executor });
         }
-        if stops {
+        if is_stopping {
             self.send_stop(now, next, task);
         }
     }
 
-    /// Drops executors that have gone and have nothing any more.
+    /// Drops executors that are no longer registered and have no runs or ends to acknowledge.
     pub(super) fn forget_executors(&mut self, now: Now) {
         let gone: Vec<(ExecutorName, bool)> = self
             .executors
@@ -146,8 +146,8 @@
                 (executor.clone(), !known.ended && !known.expired_runs.is_empty())
             })
             .collect();
-        for (executor, lapsed) in gone {
-            if lapsed {
+        for (executor, expired) in gone {
+            if expired {
                 self.end_incarnation(now, &executor, EndDetection::Expired);
                 continue;
             }
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -1,4 +1,4 @@
-//! Hosts change their pool as the load does; the decision is in [`crate::policy::lending`].
+//! Moves of hosts between pools to follow the load, as decided by [`crate::policy::lending`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,21 +26,21 @@
     },
 };
 
-/// What is known of the load of pools, and which moves are impossible.
+/// The measured load of pools, and the moves that the platform has refused.
 #[derive(Debug, Default)]
 pub struct Lending {
     arrivals: BTreeMap<PoolName, ArrivalRate>,
-    /// What pools have needed of late.
+    /// The peak need of each pool within the recent past.
     peaks: BTreeMap<PoolName, Peak>,
-    /// When the first short work came.
+    /// When the first job without a schedule and without lasting tasks arrived.
     first_short_work: Option<Time>,
-    /// The calls about hosts that may leave.
+    /// The budget for calls to the platform that order hosts.
     budget: Option<CallBudget>,
-    /// Kinds of hosts that cannot be in a pool.
+    /// Kinds of hosts that the platform refuses to have in a pool.
     unfit: BTreeSet<(Arc<str>, PoolName)>,
 }
 
-/// What the tasks of a pool ask for.
+/// What the tasks of a pool need.
 #[derive(Debug, Default)]
 struct PoolNeeds {
     whole: Need,
@@ -53,11 +53,11 @@
 impl PoolNeeds {
     fn add(&mut self, step: &Step, waiting: u64) {
         let size = reserved(step);
-        let waits = size.times(waiting);
+        let waiting_size = size.times(waiting);
         let apart = step.max_per_host.map_or(0, |most| step.count.div_ceil(most) as usize);
         let need = match &step.label {
-            // Hosts without the label are of no use to what waits for it; what runs counts as any
-            // other.
+            // Hosts without the label are of no use to tasks that wait for it. Running tasks are
+            // counted in the need of the whole pool.
             Some(label) => {
                 let need = self.labelled.entry(label.clone()).or_default();
                 need.apart = need.apart.max(1);
@@ -65,7 +65,7 @@
             }
             None => &mut self.whole,
         };
-        need.demand += waits;
+        need.demand += waiting_size;
         need.apart = need.apart.max(apart);
         if let Some(rack) = step.data_rack.as_ref().filter(|_| waiting > 0) {
             self.data_racks.insert(Arc::from(rack.as_str()));
@@ -76,12 +76,12 @@
 }
 
 impl Lending {
-    /// The most hosts that any pool has needed of late.
+    /// The most hosts that any pool has recently needed.
     fn largest_peak(&self) -> usize {
         self.peaks.values().map(Peak::hosts).max().unwrap_or(0)
     }
 
-    /// The platform refused to have a host of this kind in a pool.
+    /// Records that the platform refused to have this kind of host in a pool.
     pub(super) fn note_unfit(&mut self, entry: &HostEntry, pool: &PoolName) {
         if let Some(kind) = entry.labels.first() {
             self.unfit.insert((kind.clone(), pool.clone()));
@@ -90,7 +90,7 @@
 }
 
 impl Scheduler {
-    /// A job has arrived: its work counts for the rate of its pool.
+    /// Adds the work of a submitted job to the arrival rate of its pool.
     pub(super) fn note_arrival(&mut self, now: Now, pool: &PoolName, submission: &Submission) {
         if submission.spec.is_lasting() || submission.spec.schedule.is_some() {
             return;
@@ -108,8 +108,8 @@
         self.lending.first_short_work.get_or_insert(now.time);
     }
 
-    /// Whether an order for a host may leave now; if so, its call is taken out of the budget.
-    pub(super) fn may_call_hosts(&mut self, now: Time) -> bool {
+    /// Takes one call to the platform out of the budget; false if the budget is used up.
+    pub(super) fn take_host_call(&mut self, now: Time) -> bool {
         self.call_budget(now).take(now)
     }
 
@@ -118,13 +118,13 @@
         self.lending.budget.get_or_insert_with(|| CallBudget::new(calls, now))
     }
 
-    /// How long the platform would take to move every host once.
+    /// How long it would take to order one move for every host, at the platform's call rate.
     fn fleet_move_time(&self) -> Duration {
         let hosts = self.fleet.hosts.len() as f64;
         Duration::from_secs_f64(hosts / self.limits.host_calls_per_s)
     }
 
-    /// Notes what pools need, and says how many of their hosts stay on.
+    /// Updates the peaks of the pools, and sets how many hosts each pool retains.
     fn update_retained_hosts(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
         let all_moved = self.fleet_move_time();
         let horizon = peaks::horizon(all_moved, self.limits.host_move);
@@ -133,16 +133,16 @@
             peak.note(now.time, load.need.hosts(&load.host), horizon);
         }
         let largest = self.lending.largest_peak();
-        let begun = self.lending.first_short_work;
-        let unseen = begun.is_none_or(|first| now.time.since(first) < horizon);
-        let led = now.time.since(self.began);
+        let first_work = self.lending.first_short_work;
+        let peaks_unknown = first_work.is_none_or(|first| now.time.since(first) < horizon);
+        let term_age = now.time.since(self.began);
         for load in loads {
             let peak = self.lending.peaks.get(&load.pool).map_or(0, Peak::hosts);
             let rate = self.lending.arrivals.get(&load.pool);
-            let is_learning = arrivals::is_learning(led, rate, now.time);
+            let is_learning = arrivals::is_learning(term_age, rate, now.time);
             load.kept_on = if is_learning {
-                peaks::kept_while_learning(all_moved, begun.is_some().then_some(largest))
-            } else if unseen {
+                peaks::kept_while_learning(all_moved, first_work.is_some().then_some(largest))
+            } else if peaks_unknown {
                 largest
             } else {
                 peak
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Moves hosts to where the work is.
+    /// Moves hosts to the pools that need them.
     pub(super) fn lend_hosts(&mut self, now: Now) {
         if self.fleet.listed.is_none_or(|listed| listed < self.began) {
             return;
@@ -158,7 +158,7 @@
         let mut loads = self.pool_loads(now);
         self.update_retained_hosts(now, &mut loads);
         let spare_calls = self.call_budget(now.time).spare(now.time);
-        // Busy hosts are lent only for a label that is short.
+        // Busy hosts are lent only to a pool that lacks hosts with a label.
         if loads.iter().any(PoolLoad::lacks_label) {
             for load in &mut loads {
                 load.busy = self.busy_hosts(now.time, &load.pool);
@@ -193,7 +193,7 @@
                     let waiting = need.demand.cpu_milli;
                     for entry in members.iter().filter(|entry| entry.labels.contains(&label)) {
                         hosts += 1;
-                        // Full hosts are of no help to what waits for the label.
+                        // Capacity in use on these hosts cannot serve tasks that wait for the label.
                         need.demand +=
                             self.executor_on(entry).map_or(Size::default(), Executor::used);
                     }
@@ -220,29 +220,29 @@
             .collect()
     }
 
-    /// What runs and what waits, by pool.
+    /// The demand of running and waiting tasks, by pool.
     fn needs(&self) -> BTreeMap<PoolName, PoolNeeds> {
         let mut needs: BTreeMap<PoolName, PoolNeeds> = BTreeMap::new();
         for known in self.executors.values() {
             needs.entry(known.registration.pool.clone()).or_default().whole.demand += known.used();
         }
-        // Hosts that are fetched for tasks whose callers are at their quota would stand idle.
+        // Hosts that were moved for tasks whose callers are at their quota would be idle.
         let mut dealing = self.dealing();
         for (name, job) in &self.ledger.jobs {
-            let Some(times) = self.times.get(name) else { continue };
-            let pool = needs.entry(times.pool.clone()).or_default();
+            let Some(job_state) = self.times.get(name) else { continue };
+            let pool = needs.entry(job_state.pool.clone()).or_default();
             for (step, waiting) in unblocked_steps(job) {
-                pool.add(step, dealing.take(job, step, &times.pool, waiting as u64));
+                pool.add(step, dealing.take(job, step, &job_state.pool, waiting as u64));
             }
         }
         for pool in needs.values_mut() {
-            // One host more keeps tasks that fill gaps away from tasks that serve.
+            // One more host lets best-effort tasks run apart from serving tasks.
             pool.whole.apart += usize::from(pool.best_effort && pool.serves);
         }
         needs
     }
 
-    /// Hosts that serve a pool, or are on their way to it.
+    /// The hosts that serve a pool or are being moved to it.
     fn members_of<'a>(&'a self, pool: &PoolName, in_pool: &[&'a HostEntry]) -> Vec<&'a HostEntry> {
         let serving = in_pool.iter().copied().filter(|entry| {
             entry.state == HostState::Up && !self.fleet.withdrawals.contains_key(&entry.host)
@@ -253,12 +253,12 @@
         serving.chain(coming.filter_map(|(host, _)| self.fleet.hosts.get(host))).collect()
     }
 
-    /// What is known of a host's executor.
+    /// The executor on a host, if it is known.
     pub(super) fn executor_on(&self, entry: &HostEntry) -> Option<&Executor> {
         self.executors.get(entry.executor.as_ref()?)
     }
 
-    /// Hosts with nothing to run.
+    /// The hosts of a pool that have no runs and may be lent.
     fn idle_hosts(
         &self,
         now: Time,
@@ -288,7 +288,7 @@
         idle.collect()
     }
 
-    /// Hosts that run nothing but tasks that end.
+    /// The hosts of a pool whose runs are all of tasks that end by themselves.
     fn busy_hosts(&self, now: Time, pool: &PoolName) -> Vec<IdleHost<HostName>> {
         let in_pool = self.fleet.hosts.values().filter(|entry| entry.pool == *pool);
         let busy = in_pool.filter(|entry| {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// What a host of a pool has: that of its smallest one, or of the smallest of all.
+    /// The capacity of the smallest host in a pool, or of the smallest host of all if it has none.
     fn typical_host(&self, in_pool: &[&HostEntry]) -> Size {
         let smallest = |sizes: Vec<Size>| sizes.into_iter().min_by_key(|size| size.cpu_milli);
         smallest(in_pool.iter().map(|entry| entry.capacity).collect())
@@ -321,7 +321,7 @@
     }
 }
 
-/// How many of these hosts have each label.
+/// The number of these hosts that have each label.
 fn count_labels(members: &[&HostEntry]) -> BTreeMap<Arc<str>, usize> {
     let mut counts = BTreeMap::new();
     for label in members.iter().flat_map(|entry| &entry.labels) {
--- a/crates/borageswitch_scheduler/src/reducer/polls.rs
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -1,8 +1,8 @@
-//! Executors are looked at, and what they say is compared with what is believed.
+//! Polls of executors, and reconciliation of their reports with the leader's view.
 //!
-//! A look prolongs the lease of everything that runs there, acknowledges ends that are stored, and
-//! waits on the executor's side until something ends. An executor with nothing to run is not
-//! looked at: each look has its price.
+//! A poll extends the lease of all runs on the executor and acknowledges ended runs that are
+//! stored. The executor may hold its response until a run ends. Executors without runs are not
+//! polled, as each poll has a cost.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -20,26 +20,26 @@
     task::TaskKey,
 };
 
-/// The pause after a look without an answer, and how it grows.
+/// The backoff after a poll without a response; it doubles up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// How long looks at an executor with serving tasks may wait, so that a tail that grows is seen in
-/// time: the tail is reported over the last half second.
-const SERVING_WAIT: Duration = Duration::from_millis(500);
-/// An executor that has not answered looks for so many times in a row and is not registered any
-/// more is looked at no longer; what may run there ends with its lease.
+/// How long an executor with serving tasks may hold its response to a poll, so that a growing tail
+/// is noticed in time: the tail is reported over the last half second.
+const SERVING_POLL_WAIT: Duration = Duration::from_millis(500);
+/// The number of consecutive failed polls after which an executor that is no longer registered is
+/// not polled any more; its runs end with its lease.
 const GIVE_UP_AFTER: u32 = 4;
-/// How often an executor is looked at whose ends are on their way to the store. With a slow store
-/// an append takes a third of a second; looked at only after it, an executor in a rush would have
-/// as much room as it had before, and each of its places would stand idle for so long.
+/// How often an executor is polled whose ended runs are still being stored. With a slow store an
+/// append takes a third of a second. If the executor were polled only after that, capacity that is
+/// freed during a load peak would be noticed late and stay idle for that time.
 const UNSTORED_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scheduler {
-    /// Sends the looks that are due.
+    /// Sends the polls that are due.
     ///
-    /// Most become due by an event; those that the time makes due are found in a sweep.
+    /// Most become due by an event; a sweep finds those that become due by the passing of time.
     pub(super) fn send_polls(&mut self, now: Now, sweep: bool) {
-        let mut looks = Vec::new();
+        let mut polls = Vec::new();
         for (name, order) in self.due_polls(now, sweep) {
             let Some(known) = self.executors.get_mut(&name) else { continue };
             if let Some(until) = order.until_ms {
@@ -50,22 +50,22 @@
             } else {
                 known.polling.long_poll_in_flight = true;
             }
-            looks.push(Effect::Look(known.recipient(), order));
+            polls.push(Effect::Look(known.recipient(), order));
         }
-        self.effects.append(&mut looks);
+        self.effects.append(&mut polls);
     }
 
     fn due_polls(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, LookOrder)> {
-        let mut unlooked = std::mem::take(&mut self.unlooked);
+        let mut candidates = std::mem::take(&mut self.unlooked);
         let due = |known: &Executor| due_poll(known, now.time, &self.limits);
         if sweep {
             let all = self.executors.iter();
             return all.filter_map(|(name, known)| Some((name.clone(), due(known)?))).collect();
         }
-        unlooked.extend(self.executors.changed().cloned());
-        unlooked.sort();
-        unlooked.dedup();
-        let known = unlooked.into_iter().filter_map(|name| {
+        candidates.extend(self.executors.changed().cloned());
+        candidates.sort();
+        candidates.dedup();
+        let known = candidates.into_iter().filter_map(|name| {
             let order = due(self.executors.get(&name)?)?;
             Some((name, order))
         });
@@ -104,12 +104,12 @@
 
     fn handle_poll_failure(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        let looking = &mut known.polling;
-        looking.failures += 1;
-        looking.silent_since.get_or_insert(now.time);
-        let pause = FIRST_BACKOFF * (1 << (looking.failures - 1).min(4));
-        looking.not_before = now.time + pause.min(MAX_BACKOFF);
-        if looking.failures == 1 {
+        let polling = &mut known.polling;
+        polling.failures += 1;
+        polling.silent_since.get_or_insert(now.time);
+        let backoff = FIRST_BACKOFF * (1 << (polling.failures - 1).min(4));
+        polling.not_before = now.time + backoff.min(MAX_BACKOFF);
+        if polling.failures == 1 {
             self.log("executor-silent", executor, || "a look got no answer".to_owned());
         }
     }
@@ -124,13 +124,13 @@
         if !known.fenced {
             known.fenced = true;
             if !report.active.is_empty() || !known.runs.is_empty() {
-                // What it runs, or may yet run, holds a lease that somebody else gave.
+                // Its present and possible runs hold a lease that an earlier leader granted.
                 let lease = self.limits.inherited_lease.as_millis() as u64;
                 known.lease_until_ms = known.lease_until_ms.max(report.clock_ms + lease);
             }
             self.stirred.insert(known.registration.pool.clone());
         }
-        // Answers may overtake each other: an older one says nothing about what runs now.
+        // Responses may arrive out of order: an older one says nothing about the present runs.
         let newest = known.polling.last_answered_sent.is_none_or(|answered| sent >= answered);
         if newest {
             known.polling.last_answered_sent = Some(sent);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Compares what an executor runs with what it is believed to run.
+    /// Reconciles the runs that an executor lists with the leader's view of it.
     fn reconcile(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
         for active in &report.active {
             let held = self.executors.get(executor).and_then(|known| known.runs.get(&active.task));
@@ -169,12 +169,12 @@
         let ended: BTreeSet<&TaskKey> = report.ended.iter().map(|e| &e.task).collect();
         let listed: BTreeSet<(&TaskKey, u32)> =
             report.active.iter().map(|a| (&a.task, a.run)).collect();
-        let mut strays = Vec::new();
+        let mut orphans = Vec::new();
         for active in &report.active {
             match known.runs.get_mut(&active.task).filter(|held| held.run == active.run) {
                 Some(held) => {
-                    if let Some(times) = self.times.get_mut(&active.task.job) {
-                        times.begun = true;
+                    if let Some(job_state) = self.times.get_mut(&active.task.job) {
+                        job_state.begun = true;
                     }
                     let was_at_work = held.is_at_work();
                     update_active_run(held, active, now.time);
@@ -182,42 +182,44 @@
                         known.circuit_breaker.succeeded();
                     }
                 }
-                None => strays.push(active),
+                None => orphans.push(active),
             }
         }
-        known.has_orphan_runs = !strays.is_empty();
+        known.has_orphan_runs = !orphans.is_empty();
         let absent = |task: &TaskKey, held: &HeldRun| {
             !listed.contains(&(task, held.run)) && !ended.contains(task)
         };
-        let over = |(task, held): &(&TaskKey, &HeldRun)| {
+        let is_over = |(task, held): &(&TaskKey, &HeldRun)| {
             absent(task, held) && held.absence_proves_end(sent)
         };
         let missing: Vec<TaskKey> =
-            known.runs.iter().filter(over).map(|(task, _)| task.clone()).collect();
-        let doubtful = |(task, held): &(&TaskKey, &HeldRun)| {
+            known.runs.iter().filter(is_over).map(|(task, _)| task.clone()).collect();
+        let is_unsettled = |(task, held): &(&TaskKey, &HeldRun)| {
             held.phase == Phase::Unsure && held.stop_sent.is_none() && absent(task, held)
         };
-        let to_bar: Vec<TaskKey> =
-            known.runs.iter().filter(doubtful).map(|(task, _)| task.clone()).collect();
+        let to_stop: Vec<TaskKey> =
+            known.runs.iter().filter(is_unsettled).map(|(task, _)| task.clone()).collect();
         let recipient = known.recipient();
-        let stops: Vec<Effect> = strays
+        let stops: Vec<Effect> = orphans
             .iter()
-            .map(|stray| Effect::Stop(recipient.clone(), stray.task.clone(), stray.run))
+            .map(|orphan| Effect::Stop(recipient.clone(), orphan.task.clone(), orphan.run))
             .collect();
-        for stray in strays {
-            self.log("stray-run", &stray.task, || format!("run={} executor={executor}", stray.run));
+        for orphan in orphans {
+            self.log("stray-run", &orphan.task, || {
+                format!("run={} executor={executor}", orphan.run)
+            });
         }
         self.effects.extend(stops);
         for task in missing {
             self.release_run(executor, &task, "not listed");
         }
-        for task in to_bar {
+        for task in to_stop {
             self.send_stop(now, executor, &task);
         }
     }
 }
 
-/// What is known of a run that an executor lists.
+/// Updates a run that an executor lists as active.
 fn update_active_run(held: &mut HeldRun, active: &ActiveRun, now: Time) {
     held.percent = active.percent;
     held.recent = active.recent;
@@ -229,25 +231,25 @@
 }
 
 fn due_poll(known: &Executor, now: Time, limits: &Limits) -> Option<LookOrder> {
-    let looking = &known.polling;
-    if now < looking.not_before || looking.immediate_poll_in_flight || known.ended {
+    let polling = &known.polling;
+    if now < polling.not_before || polling.immediate_poll_in_flight || known.ended {
         return None;
     }
-    if !known.is_registered && looking.failures >= GIVE_UP_AFTER {
+    if !known.is_registered && polling.failures >= GIVE_UP_AFTER {
         return None;
     }
     let answered_after =
-        |moment: Time| looking.last_answered_sent.is_some_and(|answered| answered > moment);
+        |moment: Time| polling.last_answered_sent.is_some_and(|answered| answered > moment);
     let unsettled = known.runs.values().any(|held| {
         held.phase == Phase::Unsure
             && !answered_after(held.stop_confirmed.unwrap_or(held.phase_since))
     });
-    let in_doubt = !known.fenced || looking.failures > 0;
+    let in_doubt = !known.fenced || polling.failures > 0;
     let unknown = in_doubt && (known.is_registered || !known.runs.is_empty());
     let at_once = unknown || unsettled;
     let running =
         known.has_orphan_runs || known.runs.values().any(|held| held.phase != Phase::Recorded);
-    if !at_once && (looking.long_poll_in_flight || !wants_poll(known, now, running)) {
+    if !at_once && (polling.long_poll_in_flight || !wants_poll(known, now, running)) {
         return None;
     }
     let until_ms = known
@@ -258,19 +260,20 @@
     Some(LookOrder { until_ms, acknowledged: known.stored_end, wait })
 }
 
-/// Whether an executor that is known to answer is due for a look.
+/// Whether a poll is due for an executor whose polls get responses.
 fn wants_poll(known: &Executor, now: Time, running: bool) -> bool {
     if known.processed_end > known.stored_end {
-        // A look is told the ends that were taken in again, at once, so it cannot wait for others.
-        let read = known.clock.map_or(Time::ZERO, |clock| clock.received);
-        return running && now.since(read) >= UNSTORED_POLL_INTERVAL;
+        // The response repeats ended runs that are not acknowledged and is sent at once, so such a
+        // poll cannot wait for further ends.
+        let last_contact = known.clock.map_or(Time::ZERO, |clock| clock.received);
+        return running && now.since(last_contact) >= UNSTORED_POLL_INTERVAL;
     }
     running || known.stored_end > known.acknowledged_end
 }
 
 fn poll_wait(known: &Executor, limits: &Limits) -> Duration {
     if known.runs.values().any(|held| held.target_tail.is_some()) {
-        SERVING_WAIT.min(limits.look_wait)
+        SERVING_POLL_WAIT.min(limits.look_wait)
     } else {
         limits.look_wait
     }
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -1,9 +1,9 @@
-//! A new leader takes over.
+//! Takeover by a new leader.
 //!
-//! It knows from the ledger which runs its predecessor assigned where. What of them runs, it learns
-//! by looking at each executor under its own token: an executor that has answered refuses every
-//! order that carries an older one, also those that arrive late. Tasks on executors that do not
-//! answer wait until the longest lease of the predecessor has ended; all others go on at once.
+//! The ledger names the runs that earlier leaders assigned to each executor. The new leader learns
+//! which of them exist by polling each executor with its own fencing token; from its response on,
+//! an executor refuses all orders with an older token, including late ones. Tasks on executors that
+//! do not respond wait until the longest inherited lease has expired; all others continue at once.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -40,7 +40,7 @@
 };
 
 impl Scheduler {
-    /// Takes over with a ledger, whose last append was one less than `next_append`.
+    /// Takes over with a ledger that includes all appends below `next_append`.
     pub fn recover(
         limits: Limits,
         now: Now,
@@ -94,7 +94,7 @@
         scheduler
     }
 
-    /// Whatever the ledger holds now is stored, so it may be acknowledged.
+    /// Marks the ended runs in the ledger as stored, so that they are acknowledged.
     fn inherit_ends(&mut self) {
         let names: Vec<ExecutorName> = self.executors.keys().cloned().collect();
         for executor in names {
@@ -129,7 +129,7 @@
         self.inherit_restarts(now);
     }
 
-    /// Executors that have started again since an earlier leader gave them their runs.
+    /// Handles executors that have restarted since an earlier leader assigned them runs.
     fn inherit_restarts(&mut self, now: Now) {
         let later = |name: &ExecutorName| {
             let latest = self.executors.latest_incarnation(name).filter(|latest| *latest != name);
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Takes in a run that an earlier leader has ordered. Its executor may not be registered any
-    /// more, and the run go on there all the same.
+    /// Adds a run that an earlier leader assigned. The run may go on even if its executor is no
+    /// longer registered.
     fn inherit_run(
         &mut self,
         now: Now,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// What is to be known of a run of a task.
+    /// The entry for a run of a task in the given phase; `None` if the task is unknown.
     pub(super) fn held_for(
         &self,
         now: Time,
@@ -207,7 +207,8 @@
     }
 }
 
-/// Stands for an executor that is named in the ledger but not registered; nothing is sent to it.
+/// The registration of an executor that the ledger names but that is not registered, with an
+/// address that no order can reach.
 fn unknown_registration(executor: &ExecutorName, pool: PoolName) -> Registration {
     Registration {
         executor: executor.clone(),
--- a/crates/borageswitch_scheduler/src/reducer/registrations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/registrations.rs
@@ -1,4 +1,4 @@
-//! Executors come, drain and go.
+//! Registrations of executors: arrival, restart, draining and removal.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes in the whole list, after one that was interrupted.
+    /// Applies the complete list of registrations, after their watch was interrupted.
     pub(super) fn handle_registration_list(&mut self, now: Now, all: Vec<Registration>) {
         let there: BTreeSet<ExecutorName> = all.iter().map(|r| r.executor.clone()).collect();
         let gone: Vec<ExecutorName> =
@@ -34,7 +34,7 @@
         }
     }
 
-    /// An entry that no executor can have written names none to use.
+    /// Treats a registration that cannot be right as a missing one.
     fn handle_unreadable(&mut self, executor: &ExecutorName) {
         self.log("registration-unreadable", executor, || "no use is made of it".to_owned());
         self.handle_unregistered(executor);
@@ -44,7 +44,8 @@
         let executor = registration.executor.clone();
         let before = self.executors.latest_incarnation(&executor).cloned();
         match before.filter(|before| *before != executor) {
-            // Whoever tells of its start tells it always, and nobody starts again in the past.
+            // An executor that reports its start time always does so, and a restart cannot be
+            // earlier than the incarnation before it.
             Some(before) if life::born(&before) > life::born(&executor) => {
                 self.handle_unreadable(&executor);
             }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// An executor is registered under the name of one that is known, as a later life.
+    /// Handles the registration of a later incarnation of a known executor.
     fn handle_restart(&mut self, now: Now, before: &ExecutorName, registration: Registration) {
         let next = registration.executor.clone();
         self.stirred.insert(registration.pool.clone());
@@ -69,7 +70,7 @@
         self.stirred.insert(registration.pool.clone());
         self.end_previous_incarnation(now, &registration);
         match self.executors.get(&executor) {
-            // A registration outlives its executor.
+            // A registration remains after its executor has ended.
             Some(known) if known.ended => {}
             Some(known) => {
                 let drains = registration.draining && !known.registration.draining;
@@ -96,8 +97,8 @@
         }
     }
 
-    /// An address has one executor at a time: whoever was registered there before has ended, and
-    /// its tasks need not wait for its lease.
+    /// Ends the incarnation that was registered at the same address before. An address has one
+    /// executor at a time, so its tasks need not wait for the lease to expire.
     fn end_previous_incarnation(&mut self, now: Now, registration: &Registration) {
         let same_place = |known: &&Executor| {
             known.registration.address == registration.address
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Lasting tasks leave an executor that is about to end while it still runs, so that they are
-    /// away only for the moment of the change; others have a good chance to end in time.
+    /// Stops the lasting runs of an executor that drains, so that they are interrupted only while
+    /// they move. Other runs are likely to end before the executor does.
     fn stop_lasting_runs(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get(executor) else { return };
         let lasting = known.runs.iter().filter(|(_, held)| held.lasting);
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -1,7 +1,8 @@
-//! Tasks under which executors have crashed; how they are treated, [`crate::policy::blame`] decides.
+//! Suspects, the tasks under which executors have crashed; [`crate::policy::blame`] defines how they
+//! are treated.
 //!
-//! A suspect is started again, away from other suspects, until one of its runs has lived for long
-//! enough, or the evidence against it suffices and its job has failed.
+//! A suspect is restarted apart from other suspects until one of its runs has survived for long
+//! enough, or the evidence against it suffices to give its job up as failed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,21 +29,21 @@
     task::TaskKey,
 };
 
-/// How long a run of unknown age is taken to have been there: an earlier leader started it.
+/// The age that is assumed for a run that an earlier leader started.
 const UNKNOWN_AGE: Duration = blame::SOON;
-/// How long nothing is started on an executor after a start of an isolated task.
+/// How long nothing else is started on an executor after the start of an isolated suspect.
 const ISOLATION: Duration = blame::SOON;
 
-/// The suspects that run, and what is remembered of crashes.
+/// The suspects that are running, and the history of crashes.
 #[derive(Debug, Default)]
 pub struct Suspects {
     history: History,
-    /// Runs of suspects that have not lived for long enough yet.
+    /// Suspects whose present run has not survived for long enough yet, by executor.
     on_probation: BTreeMap<ExecutorName, BTreeSet<TaskKey>>,
 }
 
 impl Suspects {
-    /// How many suspects an executor has that have not lived for long enough yet.
+    /// The number of suspects on an executor that have not survived for long enough yet.
     pub(super) fn count_on(&self, executor: &ExecutorName) -> usize {
         self.on_probation.get(executor).map_or(0, BTreeSet::len)
     }
@@ -61,12 +62,12 @@
 }
 
 impl Scheduler {
-    /// How a task is to be treated.
+    /// The standing of a task, by the crashes under it.
     pub(super) fn standing(&self, task: &TaskKey) -> Standing {
         Standing::of(self.ledger.crashes_under(task))
     }
 
-    /// Whether an executor's host has crashed again and again.
+    /// Whether the host of an executor has crashed repeatedly.
     pub(super) fn is_unsteady(&self, now: Now, executor: &ExecutorName) -> bool {
         let history = &self.suspects.history;
         if history.is_empty() {
@@ -76,7 +77,7 @@
         host.is_some_and(|host| history.is_unsteady(now.time, host))
     }
 
-    /// A task was placed: a suspect is watched, and an isolated one is left alone for a while.
+    /// Tracks a placed task if it is a suspect; an isolated one blocks its executor for a while.
     pub(super) fn track_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let standing = self.standing(task);
         if standing == Standing::Clear {
@@ -90,8 +91,10 @@
         }
     }
 
-    /// Takes in what a crash says about the tasks that ran there. `others` crashed in the same moment;
-    /// `started_on` tells on how many of all these a job had just started.
+    /// Attributes the crash of an executor to its tasks.
+    ///
+    /// `others` is the number of executors that crashed at the same moment, and `started_on` the
+    /// number of crashed executors on which each job had recently started.
     pub(super) fn attribute_crash(
         &mut self,
         now: Now,
@@ -99,8 +102,9 @@
         others: usize,
         started_on: &BTreeMap<JobName, usize>,
     ) {
-        let open = |lost: &&LostRun| self.ledger.task(&lost.task).is_some_and(|state| !state.done);
-        let runs: Vec<&LostRun> = ended.runs.iter().filter(open).collect();
+        let is_open =
+            |lost: &&LostRun| self.ledger.task(&lost.task).is_some_and(|state| !state.done);
+        let runs: Vec<&LostRun> = ended.runs.iter().filter(is_open).collect();
         let jobs: BTreeSet<JobName> = runs.iter().map(|lost| lost.task.job.clone()).collect();
         self.count_crash(&jobs);
         let present: Vec<Present> = jobs.iter().map(|job| self.present(job, &runs)).collect();
@@ -116,19 +120,21 @@
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         self.suspects.history.note(now.time, ended.host().cloned(), jobs);
-        self.suspect(suspicions);
+        self.record_suspicions(suspicions);
     }
 
-    /// Takes in that an executor has gone for another reason, or an unknown one, a moment after tasks
-    /// were started there. It says nothing against them, but counts for the bound on restarts: a
-    /// crash may be hidden by a drain, or have been seen by a leader that could not store it.
+    /// Records suspicions without evidence against tasks that had recently started on an executor
+    /// which ended for another or an unknown reason.
+    ///
+    /// They count for the limit on restarts: a drain may hide a crash, or an earlier leader may have
+    /// seen a crash that it could not store.
     pub(super) fn note_unattributed_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let soon = ended.runs.iter().filter(|lost| blame::is_soon(lost.min_age));
-        let suspicions = soon.map(|lost| suspicion(now, ended, lost, 0));
-        self.suspect(suspicions.collect());
+        let recent = ended.runs.iter().filter(|lost| blame::is_soon(lost.min_age));
+        let suspicions = recent.map(|lost| suspicion(now, ended, lost, 0));
+        self.record_suspicions(suspicions.collect());
     }
 
-    fn suspect(&mut self, suspicions: Vec<Suspicion>) {
+    fn record_suspicions(&mut self, suspicions: Vec<Suspicion>) {
         if suspicions.is_empty() {
             return;
         }
@@ -146,7 +152,7 @@
         blame::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
-    /// A job as one of those that ran on an executor: its task that is the likeliest cause.
+    /// Summarises a job's runs on a crashed executor by the task that is the likeliest cause.
     fn present(&self, job: &JobName, runs: &[&LostRun]) -> Present {
         let of_job = runs.iter().filter(|lost| lost.task.job == *job);
         let mut present = Present { evidence: 0, window: Duration::MAX };
@@ -159,7 +165,7 @@
         present
     }
 
-    /// Gives a task up if the evidence suffices; else watches the run that it may have by now.
+    /// Gives a suspect up if the evidence suffices; otherwise tracks the run that it may have.
     fn review_suspect(&mut self, task: &TaskKey) {
         if self.standing(task) == Standing::Culprit || self.is_poison_job(&task.job) {
             self.give_up_poison_task(task);
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Whether the crashes under a job's tasks speak against it, taken together.
+    /// Whether the crashes under all tasks of a job together suffice as evidence against the job.
     fn is_poison_job(&self, name: &JobName) -> bool {
         let Some(job) = self.ledger.jobs.get(name) else { return false };
         let steps = &job.submission.spec.steps;
@@ -197,17 +203,18 @@
         self.suspects.history.explain(&task.job);
     }
 
-    /// Takes in how long suspects have lived on executors that still answer.
+    /// Records how long suspects have survived on executors that still respond, and stops tracking
+    /// those that have no run or no crashes left.
     pub(super) fn clear_suspects(&mut self) {
-        let (mut over, mut outlived) = (Vec::new(), Vec::new());
+        let (mut over, mut survived) = (Vec::new(), Vec::new());
         for (executor, tasks) in &self.suspects.on_probation {
             for task in tasks {
                 let known = self.executors.get(executor);
                 let held = known.and_then(|known| Some(known.min_run_age(known.runs.get(task)?)));
                 let crashes = self.ledger.crashes_under(task);
                 match held {
-                    Some(lived) if crashes.iter().any(|crash| blame::refutes(lived, crash)) => {
-                        outlived.push((executor.clone(), task.clone(), lived.as_millis() as u64));
+                    Some(age) if crashes.iter().any(|crash| blame::refutes(age, crash)) => {
+                        survived.push((executor.clone(), task.clone(), age.as_millis() as u64));
                     }
                     Some(_) if !crashes.is_empty() => {}
                     _ => over.push((executor.clone(), task.clone())),
@@ -217,7 +224,7 @@
         for (executor, task) in over {
             self.suspects.untrack(&executor, &task);
         }
-        for (executor, task, millis) in outlived {
+        for (executor, task, millis) in survived {
             self.log("suspect-lives", &task, || format!("executor={executor} lived_ms={millis}"));
             self.record(Record::Lived { task, millis });
         }
