--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -59,7 +59,7 @@
     }
 
     /// Drops the ticket for an executor that did not accept it.
-    pub fn revoke_ticket(&mut self, step: &StepKey, executor: &ExecutorName) {
+    pub fn discard_ticket(&mut self, step: &StepKey, executor: &ExecutorName) {
         if let Some(verdicts) = self.verdicts.get_mut(step) {
             verdicts.remove(executor);
         }
@@ -86,8 +86,8 @@
     /// Requests advice for a step with a task that was not placed, unless a request for the step or
     /// too many for others are in flight.
     ///
-    /// The request names executors with free capacity without a valid verdict, even if the step is
-    /// permitted on others: those may be full or have reached the step's limit of tasks per host.
+    /// The request names executors that have free capacity but no valid verdict, even if the step
+    /// is permitted on others: those may be full or have reached the step's limit of tasks per host.
     pub(super) fn request_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
         let advice = &self.advice;
         let busy =
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -128,9 +128,9 @@
 /// A run that was lost with its executor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRun {
-    /// The task.
+    /// The task of the run.
     pub task: TaskKey,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
     /// The longest time that the run can have existed; `None` if an earlier leader started it.
     pub max_age: Option<Duration>,
@@ -238,8 +238,8 @@
         _ if known.registration.draining => EndCause::Drain,
         (_, Some(HostOutcome::Removed(_))) => EndCause::Removal,
         _ if known.known_from_ledger_only => EndCause::Unknown,
-        // A registration remains after its executor has ended, and may be read again after the crash
-        // was recorded.
+        // A registration remains after its executor has ended, and may be read again after the
+        // crash was recorded.
         _ if known.clock.is_none() && runs.is_empty() => EndCause::Unknown,
         _ => EndCause::Crash,
     }
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -23,7 +23,7 @@
     Sent,
     /// The executor runs it.
     Active,
-    /// An earlier leader assigned it, and this leader has not polled the executor yet.
+    /// An earlier leader assigned it, and the executor has not responded to a poll of this leader.
     Inherited,
     /// The start order got no response: the run may exist or may still start.
     Unsure,
@@ -106,7 +106,7 @@
             Phase::Active => self.phase_since < sent,
             Phase::Stopping if self.confirmed => self.phase_since < sent,
             Phase::Stopping | Phase::Unsure => {
-                self.stop_confirmed.is_some_and(|barred| barred < sent)
+                self.stop_confirmed.is_some_and(|confirmed| confirmed < sent)
             }
         }
     }
@@ -304,8 +304,8 @@
             && self.polling.failures == 0
     }
 
-    /// Whether new runs may be placed on it, but for passing reasons: a lack of capacity, an
-    /// isolated suspect, or polls without a response.
+    /// Whether new runs may be placed on it, disregarding temporary obstacles: a lack of capacity,
+    /// an isolated suspect, or polls without a response.
     pub fn is_schedulable(&self, now: Time) -> bool {
         self.is_registered
             && self.fenced
@@ -315,7 +315,7 @@
             && self.circuit_breaker.allows(now)
     }
 
-    /// Whether it may accept runs again by the mere passing of time, without an event.
+    /// Whether it may accept runs again just by the passing of time, without an event.
     pub fn recovers_with_time(&self, now: Time) -> bool {
         now < self.full_until || now < self.isolated_until || self.circuit_breaker.is_doubted()
     }
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -43,7 +43,7 @@
 /// A summary of the leader's state.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct StateDump {
-    /// How long the leader has been in office, in milliseconds.
+    /// How long the leader has led, in milliseconds.
     pub leads_for_ms: u64,
     /// The version of the configuration in force.
     pub config_version: Option<u64>,
@@ -224,7 +224,7 @@
         lines
     }
 
-    /// Counts the executors of the pool by why each does not run the waiting tasks of a step.
+    /// Explains why no executor takes a waiting task of a step: counts the executors by reason.
     fn explain_waiting(&self, now: Now, key: &StepKey, step: &Step) -> String {
         let Some(pool) = self.pool_of(&key.job) else { return "no pool is known".to_owned() };
         if let Some(line) = self.explain_quota(key, step) {
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -78,7 +78,7 @@
             return;
         }
         self.init_job_state(now, &submission);
-        self.note_share(now, &submission);
+        self.charge_job_share(now, &submission);
         self.waiting.note(&job);
         if let Some(pool) = self.pool_of(&job).cloned() {
             self.note_arrival(now, &pool, &submission);
@@ -99,7 +99,7 @@
     }
 
     /// Charges a job to its caller's share, and marks it if it exceeds the share.
-    fn note_share(&mut self, now: Now, submission: &Submission) {
+    fn charge_job_share(&mut self, now: Now, submission: &Submission) {
         let Some(name) = &submission.caller else { return };
         let declared = self.config.as_ref().and_then(|config| config.callers.get(name));
         let Some(weight) = declared.map(|caller| caller.weight) else { return };
@@ -287,8 +287,8 @@
     F: Fn(Duration) -> Duration,
 {
     let mut ends = vec![Duration::ZERO; spec.steps.len()];
-    // Steps may depend on steps with higher numbers, so it takes as many rounds as the longest chain
-    // has steps until the ends no longer change.
+    // Steps may depend on steps with higher numbers, so it takes as many rounds as the longest
+    // chain has steps until the ends no longer change.
     for _ in 0..spec.steps.len() {
         let mut changed = false;
         for (number, step) in spec.steps.iter().enumerate() {
--- a/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
@@ -20,7 +20,7 @@
 
 impl Scheduler {
     /// Releases the runs of executors whose lease has certainly expired.
-    pub(super) fn release_expired(&mut self, now: Now) {
+    pub(super) fn release_expired_leases(&mut self, now: Now) {
         let expired: Vec<ExecutorName> = self
             .executors
             .iter()
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Handles the certain end of an executor's incarnation, none of whose runs still exist.
+    /// Handles the end of an incarnation, once it is certain that none of its runs still exist.
     ///
     /// If the executor may start again under its name, its next incarnation may carry out start
     /// orders that are still in flight. Runs of such orders are kept until the next incarnation is
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -126,8 +126,8 @@
 
     /// Updates the peaks of the pools, and sets how many hosts each pool retains.
     fn update_retained_hosts(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
-        let all_moved = self.fleet_move_time();
-        let horizon = peaks::horizon(all_moved, self.limits.host_move);
+        let fleet_move_time = self.fleet_move_time();
+        let horizon = peaks::horizon(fleet_move_time, self.limits.host_move);
         for load in loads.iter().filter(|load| !load.standby) {
             let peak = self.lending.peaks.entry(load.pool.clone()).or_default();
             peak.note(now.time, load.need.hosts(&load.host), horizon);
@@ -141,7 +141,7 @@
             let rate = self.lending.arrivals.get(&load.pool);
             let is_learning = arrivals::is_learning(term_age, rate, now.time);
             load.kept_on = if is_learning {
-                peaks::kept_while_learning(all_moved, first_work.is_some().then_some(largest))
+                peaks::kept_while_learning(fleet_move_time, first_work.is_some().then_some(largest))
             } else if peaks_unknown {
                 largest
             } else {
@@ -193,7 +193,7 @@
                     let waiting = need.demand.cpu_milli;
                     for entry in members.iter().filter(|entry| entry.labels.contains(&label)) {
                         hosts += 1;
-                        // Capacity in use on these hosts cannot serve tasks that wait for the label.
+                        // Capacity in use on these hosts is no help to tasks that wait for it.
                         need.demand +=
                             self.executor_on(entry).map_or(Size::default(), Executor::used);
                     }
@@ -248,9 +248,9 @@
             entry.state == HostState::Up && !self.fleet.withdrawals.contains_key(&entry.host)
         });
         let to_pool = Purpose::Move(pool.clone());
-        let coming =
+        let incoming =
             self.fleet.withdrawals.iter().filter(|(_, withdrawal)| withdrawal.purpose == to_pool);
-        serving.chain(coming.filter_map(|(host, _)| self.fleet.hosts.get(host))).collect()
+        serving.chain(incoming.filter_map(|(host, _)| self.fleet.hosts.get(host))).collect()
     }
 
     /// The executor on a host, if it is known.
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -239,7 +239,7 @@
 
     /// Looks through what no event reports.
     fn sweep(&mut self, now: Now) {
-        self.release_expired(now);
+        self.release_expired_leases(now);
         self.begin_due_occurrences(now);
         self.stirred.extend(self.executors.pools().cloned());
         self.forget_executors(now);
--- a/crates/borageswitch_scheduler/src/reducer/registrations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/registrations.rs
@@ -23,9 +23,9 @@
 
     /// Applies the complete list of registrations, after their watch was interrupted.
     pub(super) fn handle_registration_list(&mut self, now: Now, all: Vec<Registration>) {
-        let there: BTreeSet<ExecutorName> = all.iter().map(|r| r.executor.clone()).collect();
+        let registered: BTreeSet<ExecutorName> = all.iter().map(|r| r.executor.clone()).collect();
         let gone: Vec<ExecutorName> =
-            self.executors.keys().filter(|known| !there.contains(*known)).cloned().collect();
+            self.executors.keys().filter(|known| !registered.contains(*known)).cloned().collect();
         for executor in gone {
             self.handle_unregistered(&executor);
         }
@@ -100,12 +100,12 @@
     /// Ends the incarnation that was registered at the same address before. An address has one
     /// executor at a time, so its tasks need not wait for the lease to expire.
     fn end_previous_incarnation(&mut self, now: Now, registration: &Registration) {
-        let same_place = |known: &&Executor| {
+        let same_address = |known: &&Executor| {
             known.registration.address == registration.address
                 && known.registration.executor != registration.executor
                 && !known.is_registered
         };
-        let before = self.executors.values().find(same_place);
+        let before = self.executors.values().find(same_address);
         if let Some(executor) = before.map(|known| known.registration.executor.clone()) {
             self.end_incarnation(now, &executor, EndDetection::OtherIncarnationRegistered);
         }
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -137,7 +137,7 @@
                 self.close(now, executor, task, FULL_PAUSE, "unhealthy");
             }
             StartAnswer::NotPermitted => {
-                self.advice.revoke_ticket(&task.step_key(), executor);
+                self.advice.discard_ticket(&task.step_key(), executor);
                 self.release_run(executor, task, "not permitted");
             }
             StartAnswer::NotSent => {
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -206,7 +206,7 @@
     /// Records how long suspects have survived on executors that still respond, and stops tracking
     /// those that have no run or no crashes left.
     pub(super) fn clear_suspects(&mut self) {
-        let (mut over, mut survived) = (Vec::new(), Vec::new());
+        let (mut untracked, mut survived) = (Vec::new(), Vec::new());
         for (executor, tasks) in &self.suspects.on_probation {
             for task in tasks {
                 let known = self.executors.get(executor);
@@ -217,11 +217,11 @@
                         survived.push((executor.clone(), task.clone(), age.as_millis() as u64));
                     }
                     Some(_) if !crashes.is_empty() => {}
-                    _ => over.push((executor.clone(), task.clone())),
+                    _ => untracked.push((executor.clone(), task.clone())),
                 }
             }
         }
-        for (executor, task) in over {
+        for (executor, task) in untracked {
             self.suspects.untrack(&executor, &task);
         }
         for (executor, task, millis) in survived {
