--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -87,7 +87,8 @@
     /// too many for others are in flight.
     ///
     /// The request names executors that have free capacity but no valid verdict, even if the step
-    /// is permitted on others: those may be full or have reached the step's limit of tasks per host.
+    /// is permitted on others: those may be full, or have reached the step's limit of tasks per
+    /// host.
     pub(super) fn request_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
         let advice = &self.advice;
         let busy =
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -9,7 +9,7 @@
 //! - [`outbox`]: what waits until its records are stored.
 //! - [`jobs`]: jobs come, are cancelled, come due and end.
 //! - [`polls`]: executors are looked at, and what they say is compared with what is believed.
-//! - [`ends`]: runs end, or are known never to have begun.
+//! - [`run_ends`]: runs end, or are known never to have begun.
 //! - [`starts`]: answers to starts and stops; [`failed_starts`] are not repeated at once for ever, and
 //!   [`starting`] bounds those on their way.
 //! - [`crashes`]: executors that ended, and which of them crashed.
@@ -32,7 +32,6 @@
 pub mod clock;
 pub mod crashes;
 pub mod emptying;
-pub mod ends;
 pub mod evict;
 pub mod executor_table;
 pub mod executors;
@@ -55,6 +54,7 @@
 pub mod recovery;
 pub mod registrations;
 pub mod rooms;
+pub mod run_ends;
 pub mod starting;
 pub mod starts;
 pub mod stragglers;
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -1,5 +1,5 @@
-//! Suspects, the tasks under which executors have crashed; [`crate::policy::blame`] defines how they
-//! are treated.
+//! Suspects, the tasks under which executors have crashed; [`crate::policy::blame`] defines how
+//! they are treated.
 //!
 //! A suspect is restarted apart from other suspects until one of its runs has survived for long
 //! enough, or the evidence against it suffices to give its job up as failed.
@@ -126,8 +126,8 @@
     /// Records suspicions without evidence against tasks that had recently started on an executor
     /// which ended for another or an unknown reason.
     ///
-    /// They count for the limit on restarts: a drain may hide a crash, or an earlier leader may have
-    /// seen a crash that it could not store.
+    /// They count for the limit on restarts: a drain may hide a crash, or an earlier leader may
+    /// have seen a crash that it could not store.
     pub(super) fn note_unattributed_loss(&mut self, now: Now, ended: &EndedExecutor) {
         let recent = ended.runs.iter().filter(|lost| blame::is_soon(lost.min_age));
         let suspicions = recent.map(|lost| suspicion(now, ended, lost, 0));
