--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -1,4 +1,4 @@
-//! Hosts change their pool as the load does; the decision is in [`crate::policy::lending`].
+//! Moves of hosts between pools to follow the load, as decided by [`crate::policy::lending`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,38 +26,38 @@
     },
 };
 
-/// What is known of the load of pools, and which moves are impossible.
+/// The measured load of pools, and the moves that the platform has refused.
 #[derive(Debug, Default)]
 pub struct Lending {
     arrivals: BTreeMap<PoolName, ArrivalRate>,
-    /// What pools have needed of late.
+    /// The peak need of each pool within the recent past.
     peaks: BTreeMap<PoolName, Peak>,
-    /// When the first short work came.
-    first_work: Option<Time>,
-    /// The calls about hosts that may leave.
+    /// When the first job without a schedule and without lasting tasks arrived.
+    first_short_work: Option<Time>,
+    /// The budget for calls to the platform that order hosts.
     budget: Option<CallBudget>,
-    /// Kinds of hosts that cannot be in a pool.
+    /// Kinds of hosts that the platform refuses to have in a pool.
     unfit: BTreeSet<(Arc<str>, PoolName)>,
 }
 
-/// What the tasks of a pool ask for.
+/// What the tasks of a pool need.
 #[derive(Debug, Default)]
 struct PoolNeeds {
     whole: Demand,
     labelled: BTreeMap<Arc<str>, Demand>,
     data_racks: BTreeSet<Arc<str>>,
-    fills: bool,
+    best_effort: bool,
     serves: bool,
 }
 
 impl PoolNeeds {
     fn add(&mut self, step: &Step, waiting: u64) {
         let size = reserved(step);
-        let waits = size.times(waiting);
+        let waiting_size = size.times(waiting);
         let apart = step.max_per_host.map_or(0, |most| step.count.div_ceil(most) as usize);
         let need = match &step.label {
-            // Hosts without the label are of no use to what waits for it; what runs counts as any
-            // other.
+            // Hosts without the label are of no use to tasks that wait for it. Running tasks are
+            // counted in the need of the whole pool.
             Some(label) => {
                 let need = self.labelled.entry(label.clone()).or_default();
                 need.separate_hosts = need.separate_hosts.max(1);
@@ -65,23 +65,23 @@
             }
             None => &mut self.whole,
         };
-        need.resources += waits;
+        need.resources += waiting_size;
         need.separate_hosts = need.separate_hosts.max(apart);
         if let Some(rack) = step.data_rack.as_ref().filter(|_| waiting > 0) {
             self.data_racks.insert(Arc::from(rack.as_str()));
         }
-        self.fills |= step.best_effort;
+        self.best_effort |= step.best_effort;
         self.serves |= step.target_tail.is_some() && !step.best_effort;
     }
 }
 
 impl Lending {
-    /// The most hosts that any pool has needed of late.
+    /// The most hosts that any pool has recently needed.
     fn largest_peak(&self) -> usize {
         self.peaks.values().map(Peak::hosts).max().unwrap_or(0)
     }
 
-    /// The platform refused to have a host of this kind in a pool.
+    /// Records that the platform refused to have this kind of host in a pool.
     pub(super) fn note_unfit(&mut self, entry: &HostEntry, pool: &PoolName) {
         if let Some(kind) = entry.labels.first() {
             self.unfit.insert((kind.clone(), pool.clone()));
@@ -90,7 +90,7 @@
 }
 
 impl Scheduler {
-    /// A job has arrived: its work counts for the rate of its pool.
+    /// Adds the work of a submitted job to the arrival rate of its pool.
     pub(super) fn note_arrival(&mut self, now: Now, pool: &PoolName, submission: &Submission) {
         if submission.spec.is_lasting() || submission.spec.schedule.is_some() {
             return;
@@ -103,13 +103,13 @@
             work += f64::from(step.count) * cores * each.as_secs_f64();
             takes += each;
         }
-        let spread = takes.min(peaks::retention(self.all_moved(), self.limits.host_move));
+        let spread = takes.min(peaks::retention(self.fleet_move_time(), self.limits.host_move));
         self.lending.arrivals.entry(pool.clone()).or_default().record_work(now.time, work, spread);
-        self.lending.first_work.get_or_insert(now.time);
+        self.lending.first_short_work.get_or_insert(now.time);
     }
 
-    /// Whether an order for a host may leave now; if so, its call is taken out of the budget.
-    pub(super) fn may_call_hosts(&mut self, now: Time) -> bool {
+    /// Takes one call to the platform out of the budget; false if the budget is used up.
+    pub(super) fn take_host_call(&mut self, now: Time) -> bool {
         self.call_budget(now).try_take(now)
     }
 
@@ -118,31 +118,31 @@
         self.lending.budget.get_or_insert_with(|| CallBudget::new(calls, now))
     }
 
-    /// How long the platform would take to move every host once.
-    fn all_moved(&self) -> Duration {
+    /// How long it would take to order one move for every host, at the platform's call rate.
+    fn fleet_move_time(&self) -> Duration {
         let hosts = self.fleet.hosts.len() as f64;
         Duration::from_secs_f64(hosts / self.limits.host_calls_per_s)
     }
 
-    /// Notes what pools need, and says how many of their hosts stay on.
-    fn keep_on(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
-        let all_moved = self.all_moved();
-        let horizon = peaks::retention(all_moved, self.limits.host_move);
+    /// Updates the peaks of the pools, and sets how many hosts each pool retains.
+    fn update_retained_hosts(&mut self, now: Now, loads: &mut [PoolLoad<HostName>]) {
+        let fleet_move_time = self.fleet_move_time();
+        let horizon = peaks::retention(fleet_move_time, self.limits.host_move);
         for load in loads.iter().filter(|load| !load.standby) {
             let peak = self.lending.peaks.entry(load.pool.clone()).or_default();
             peak.record(now.time, load.demand.hosts(&load.host_size), horizon);
         }
         let largest = self.lending.largest_peak();
-        let begun = self.lending.first_work;
-        let unseen = begun.is_none_or(|first| now.time.since(first) < horizon);
-        let led = now.time.since(self.began);
+        let first_work = self.lending.first_short_work;
+        let peaks_unknown = first_work.is_none_or(|first| now.time.since(first) < horizon);
+        let term_age = now.time.since(self.began);
         for load in loads {
             let peak = self.lending.peaks.get(&load.pool).map_or(0, Peak::hosts);
             let rate = self.lending.arrivals.get(&load.pool);
-            let is_learning = arrivals::is_learning(led, rate, now.time);
+            let is_learning = arrivals::is_learning(term_age, rate, now.time);
             load.min_powered_on = if is_learning {
-                peaks::hosts_kept_while_learning(all_moved, begun.is_some().then_some(largest))
-            } else if unseen {
+                peaks::hosts_kept_while_learning(fleet_move_time, first_work.is_some().then_some(largest))
+            } else if peaks_unknown {
                 largest
             } else {
                 peak
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Moves hosts to where the work is.
-    pub(super) fn step_lending(&mut self, now: Now) {
+    /// Moves hosts to the pools that need them.
+    pub(super) fn lend_hosts(&mut self, now: Now) {
         if self.fleet.listed.is_none_or(|listed| listed < self.began) {
             return;
         }
         let mut loads = self.pool_loads(now);
-        self.keep_on(now, &mut loads);
+        self.update_retained_hosts(now, &mut loads);
         let spare_calls = self.call_budget(now.time).optional_calls(now.time);
-        // Busy hosts are lent only for a label that is short.
+        // Busy hosts are lent only to a pool that lacks hosts with a label.
         if loads.iter().any(PoolLoad::lacks_labelled_host) {
             for load in &mut loads {
                 load.busy = self.busy_hosts(now.time, &load.pool);
@@ -193,9 +193,9 @@
                     let waiting = need.resources.cpu_milli;
                     for entry in members.iter().filter(|entry| entry.labels.contains(&label)) {
                         hosts += 1;
-                        // Full hosts are of no help to what waits for the label.
+                        // Capacity in use on these hosts is no help to tasks that wait for it.
                         need.resources +=
-                            self.executor_on(entry).map_or(Size::default(), Executor::taken);
+                            self.executor_on(entry).map_or(Size::default(), Executor::used);
                     }
                     LabelDemand { label, demand: need, waiting, hosts }
                 });
@@ -220,46 +220,46 @@
             .collect()
     }
 
-    /// What runs and what waits, by pool.
+    /// The demand of running and waiting tasks, by pool.
     fn needs(&self) -> BTreeMap<PoolName, PoolNeeds> {
         let mut needs: BTreeMap<PoolName, PoolNeeds> = BTreeMap::new();
         for known in self.executors.values() {
             needs.entry(known.registration.pool.clone()).or_default().whole.resources +=
-                known.taken();
+                known.used();
         }
-        // Hosts that are fetched for tasks whose callers are at their quota would stand idle.
+        // Hosts that were moved for tasks whose callers are at their quota would be idle.
         let mut dealing = self.dealing();
         for (name, job) in &self.ledger.jobs {
-            let Some(times) = self.times.get(name) else { continue };
-            let pool = needs.entry(times.pool.clone()).or_default();
+            let Some(job_state) = self.times.get(name) else { continue };
+            let pool = needs.entry(job_state.pool.clone()).or_default();
             for (step, waiting) in unblocked_steps(job) {
-                pool.add(step, dealing.take(job, step, &times.pool, waiting as u64));
+                pool.add(step, dealing.take(job, step, &job_state.pool, waiting as u64));
             }
         }
         for pool in needs.values_mut() {
-            // One host more keeps tasks that fill gaps away from tasks that serve.
-            pool.whole.separate_hosts += usize::from(pool.fills && pool.serves);
+            // One more host lets best-effort tasks run apart from serving tasks.
+            pool.whole.separate_hosts += usize::from(pool.best_effort && pool.serves);
         }
         needs
     }
 
-    /// Hosts that serve a pool, or are on their way to it.
+    /// The hosts that serve a pool or are being moved to it.
     fn members_of<'a>(&'a self, pool: &PoolName, in_pool: &[&'a HostEntry]) -> Vec<&'a HostEntry> {
         let serving = in_pool.iter().copied().filter(|entry| {
             entry.state == HostState::Up && !self.fleet.withdrawals.contains_key(&entry.host)
         });
         let to_pool = Purpose::Move(pool.clone());
-        let coming =
+        let incoming =
             self.fleet.withdrawals.iter().filter(|(_, withdrawal)| withdrawal.purpose == to_pool);
-        serving.chain(coming.filter_map(|(host, _)| self.fleet.hosts.get(host))).collect()
+        serving.chain(incoming.filter_map(|(host, _)| self.fleet.hosts.get(host))).collect()
     }
 
-    /// What is known of a host's executor.
+    /// The executor on a host, if it is known.
     pub(super) fn executor_on(&self, entry: &HostEntry) -> Option<&Executor> {
         self.executors.get(entry.executor.as_ref()?)
     }
 
-    /// Hosts with nothing to run.
+    /// The hosts of a pool that have no runs and may be lent.
     fn idle_hosts(
         &self,
         now: Time,
@@ -276,7 +276,7 @@
                 Duration::ZERO
             } else {
                 let known = self.executors.get(entry.executor.as_ref()?)?;
-                if !known.present || !known.fenced || !known.runs.is_empty() {
+                if !known.is_registered || !known.fenced || !known.runs.is_empty() {
                     return None;
                 }
                 if self.waits_for_gang(&entry.pool, entry.executor.as_ref()?) {
@@ -289,11 +289,11 @@
         idle.collect()
     }
 
-    /// Hosts that run nothing but tasks that end.
+    /// The hosts of a pool whose runs are all of tasks that end by themselves.
     fn busy_hosts(&self, now: Time, pool: &PoolName) -> Vec<MovableHost<HostName>> {
         let in_pool = self.fleet.hosts.values().filter(|entry| entry.pool == *pool);
         let busy = in_pool.filter(|entry| {
-            let known = self.executor_on(entry).filter(|known| known.present && known.fenced);
+            let known = self.executor_on(entry).filter(|known| known.is_registered && known.fenced);
             let only_short = known.is_some_and(|known| {
                 !known.runs.is_empty() && known.runs.values().all(|held| !held.lasting)
             });
@@ -313,7 +313,7 @@
         }
     }
 
-    /// What a host of a pool has: that of its smallest one, or of the smallest of all.
+    /// The capacity of the smallest host in a pool, or of the smallest host of all if it has none.
     fn typical_host(&self, in_pool: &[&HostEntry]) -> Size {
         let smallest = |sizes: Vec<Size>| sizes.into_iter().min_by_key(|size| size.cpu_milli);
         smallest(in_pool.iter().map(|entry| entry.capacity).collect())
@@ -322,7 +322,7 @@
     }
 }
 
-/// How many of these hosts have each label.
+/// The number of these hosts that have each label.
 fn count_labels(members: &[&HostEntry]) -> BTreeMap<Arc<str>, usize> {
     let mut counts = BTreeMap::new();
     for label in members.iter().flat_map(|entry| &entry.labels) {
--- /dev/null
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -0,0 +1,280 @@
+//! Polls of executors, and reconciliation of their reports with the leader's view.
+//!
+//! A poll extends the lease of all runs on the executor and acknowledges ended runs that are
+//! stored. The executor may hold its response until a run ends. Executors without runs are not
+//! polled, as each poll has a cost.
+
+use std::{collections::BTreeSet, time::Duration};
+
+use borageswitch_types::{Time, names::ExecutorName};
+
+use crate::{
+    effect::{Effect, PollOrder},
+    event::{Now, PollResponse},
+    executor::{ActiveRun, Report},
+    reducer::{
+        Limits, Scheduler,
+        crashes::EndDetection,
+        executors::{Executor, HeldRun, Phase},
+    },
+    task::TaskKey,
+};
+
+/// The backoff after a poll without a response; it doubles up to [`MAX_BACKOFF`].
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// How long an executor with serving tasks may hold its response to a poll, so that a growing tail
+/// is noticed in time: the tail is reported over the last half second.
+const SERVING_POLL_WAIT: Duration = Duration::from_millis(500);
+/// The number of consecutive failed polls after which an executor that is no longer registered is
+/// not polled any more; its runs end with its lease.
+const GIVE_UP_AFTER: u32 = 4;
+/// How often an executor is polled whose ended runs are still being stored. With a slow store an
+/// append takes a third of a second. If the executor were polled only after that, capacity that is
+/// freed during a load peak would be noticed late and stay idle for that time.
+const UNSTORED_POLL_INTERVAL: Duration = Duration::from_millis(250);
+
+impl Scheduler {
+    /// Sends the polls that are due.
+    ///
+    /// Most become due by an event; a sweep finds those that become due by the passing of time.
+    pub(super) fn send_polls(&mut self, now: Now, sweep: bool) {
+        let mut polls = Vec::new();
+        for (name, order) in self.due_polls(now, sweep) {
+            let Some(known) = self.executors.get_mut(&name) else { continue };
+            if let Some(until) = order.until_ms {
+                known.lease_until_ms = known.lease_until_ms.max(until);
+            }
+            if order.wait.is_zero() {
+                known.polling.immediate_poll_in_flight = true;
+            } else {
+                known.polling.long_poll_in_flight = true;
+            }
+            polls.push(Effect::Poll(known.recipient(), order));
+        }
+        self.effects.append(&mut polls);
+    }
+
+    fn due_polls(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, PollOrder)> {
+        let mut candidates = std::mem::take(&mut self.unlooked);
+        let due = |known: &Executor| due_poll(known, now.time, &self.limits);
+        if sweep {
+            let all = self.executors.iter();
+            return all.filter_map(|(name, known)| Some((name.clone(), due(known)?))).collect();
+        }
+        candidates.extend(self.executors.changed().cloned());
+        candidates.sort();
+        candidates.dedup();
+        let known = candidates.into_iter().filter_map(|name| {
+            let order = due(self.executors.get(&name)?)?;
+            Some((name, order))
+        });
+        known.collect()
+    }
+
+    pub(super) fn handle_poll_response(
+        &mut self,
+        now: Now,
+        executor: &ExecutorName,
+        sent: Time,
+        order: PollOrder,
+        answer: PollResponse,
+    ) {
+        let Some(known) = self.executors.get_mut(executor) else { return };
+        if order.wait.is_zero() {
+            known.polling.immediate_poll_in_flight = false;
+        } else {
+            known.polling.long_poll_in_flight = false;
+        }
+        match answer {
+            PollResponse::Report(report) => {
+                known.acknowledged_end = known.acknowledged_end.max(order.acknowledged);
+                self.apply_report(now, executor, sent, &report);
+            }
+            PollResponse::Fenced => {
+                self.log("leader-fenced", executor, || "a look met a higher token".to_owned());
+                self.effects.push(Effect::StepDown);
+            }
+            PollResponse::OtherIncarnation => {
+                self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
+            }
+            PollResponse::Lost => self.handle_poll_failure(now, executor),
+        }
+    }
+
+    fn handle_poll_failure(&mut self, now: Now, executor: &ExecutorName) {
+        let Some(known) = self.executors.get_mut(executor) else { return };
+        let polling = &mut known.polling;
+        polling.failures += 1;
+        polling.silent_since.get_or_insert(now.time);
+        let backoff = FIRST_BACKOFF * (1 << (polling.failures - 1).min(4));
+        polling.not_before = now.time + backoff.min(MAX_BACKOFF);
+        if polling.failures == 1 {
+            self.log("executor-silent", executor, || "a look got no answer".to_owned());
+        }
+    }
+
+    fn apply_report(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
+        let Some(known) = self.executors.get_mut(executor) else { return };
+        let recovered = known.polling.failures > 0;
+        known.polling.failures = 0;
+        known.polling.silent_since = None;
+        known.expired_runs.clear();
+        known.read_clock(now.time, report.clock_ms);
+        if !known.fenced {
+            known.fenced = true;
+            if !report.active.is_empty() || !known.runs.is_empty() {
+                // Its present and possible runs hold a lease that an earlier leader granted.
+                let lease = self.limits.inherited_lease.as_millis() as u64;
+                known.lease_until_ms = known.lease_until_ms.max(report.clock_ms + lease);
+            }
+            self.stirred.insert(known.registration.pool.clone());
+        }
+        // Responses may arrive out of order: an older one says nothing about the present runs.
+        let newest = known.polling.last_answered_sent.is_none_or(|answered| sent >= answered);
+        if newest {
+            known.polling.last_answered_sent = Some(sent);
+        }
+        if recovered {
+            self.log("executor-answers", executor, || "after looks without an answer".to_owned());
+        }
+        self.apply_ends(now, executor, report);
+        if newest {
+            self.reconcile(now, executor, sent, report);
+            self.pace_neighbours(executor);
+        }
+    }
+
+    fn apply_ends(&mut self, now: Now, executor: &ExecutorName, report: &Report) {
+        let seen = self.ledger.last_ends.get(executor).copied().unwrap_or(0);
+        for ended in report.ended.iter().filter(|ended| ended.number > seen) {
+            self.handle_run_end(now, executor, ended);
+        }
+        let highest = report.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
+        if let Some(known) = self.executors.get_mut(executor) {
+            known.processed_end = known.processed_end.max(highest);
+        }
+    }
+
+    /// Reconciles the runs that an executor lists with the leader's view of it.
+    fn reconcile(&mut self, now: Now, executor: &ExecutorName, sent: Time, report: &Report) {
+        for active in &report.active {
+            let held = self.executors.get(executor).and_then(|known| known.runs.get(&active.task));
+            if held.is_some_and(|held| held.run == active.run && !held.confirmed) {
+                self.executors.confirm(executor, &active.task);
+                self.failed_starts.confirmed(&active.task);
+            }
+        }
+        let Some(known) = self.executors.get_mut(executor) else { return };
+        let ended: BTreeSet<&TaskKey> = report.ended.iter().map(|e| &e.task).collect();
+        let listed: BTreeSet<(&TaskKey, u32)> =
+            report.active.iter().map(|a| (&a.task, a.run)).collect();
+        let mut orphans = Vec::new();
+        for active in &report.active {
+            match known.runs.get_mut(&active.task).filter(|held| held.run == active.run) {
+                Some(held) => {
+                    if let Some(job_state) = self.times.get_mut(&active.task.job) {
+                        job_state.begun = true;
+                    }
+                    let was_at_work = held.is_at_work();
+                    update_active_run(held, active, now.time);
+                    if held.lasting && held.is_at_work() && !was_at_work {
+                        known.circuit_breaker.record_success();
+                    }
+                }
+                None => orphans.push(active),
+            }
+        }
+        known.has_orphan_runs = !orphans.is_empty();
+        let absent = |task: &TaskKey, held: &HeldRun| {
+            !listed.contains(&(task, held.run)) && !ended.contains(task)
+        };
+        let is_over = |(task, held): &(&TaskKey, &HeldRun)| {
+            absent(task, held) && held.absence_proves_end(sent)
+        };
+        let missing: Vec<TaskKey> =
+            known.runs.iter().filter(is_over).map(|(task, _)| task.clone()).collect();
+        let is_unsettled = |(task, held): &(&TaskKey, &HeldRun)| {
+            held.phase == Phase::Unsure && held.stop_sent.is_none() && absent(task, held)
+        };
+        let to_stop: Vec<TaskKey> =
+            known.runs.iter().filter(is_unsettled).map(|(task, _)| task.clone()).collect();
+        let recipient = known.recipient();
+        let stops: Vec<Effect> = orphans
+            .iter()
+            .map(|orphan| Effect::Stop(recipient.clone(), orphan.task.clone(), orphan.run))
+            .collect();
+        for orphan in orphans {
+            self.log("stray-run", &orphan.task, || {
+                format!("run={} executor={executor}", orphan.run)
+            });
+        }
+        self.effects.extend(stops);
+        for task in missing {
+            self.release_run(executor, &task, "not listed");
+        }
+        for task in to_stop {
+            self.send_stop(now, executor, &task);
+        }
+    }
+}
+
+/// Updates a run that an executor lists as active.
+fn update_active_run(held: &mut HeldRun, active: &ActiveRun, now: Time) {
+    held.percent = active.percent;
+    held.recent = active.recent;
+    if matches!(held.phase, Phase::Sent | Phase::Inherited | Phase::Unsure) {
+        held.phase = Phase::Active;
+        held.phase_since = now;
+        held.started = now;
+    }
+}
+
+fn due_poll(known: &Executor, now: Time, limits: &Limits) -> Option<PollOrder> {
+    let polling = &known.polling;
+    if now < polling.not_before || polling.immediate_poll_in_flight || known.ended {
+        return None;
+    }
+    if !known.is_registered && polling.failures >= GIVE_UP_AFTER {
+        return None;
+    }
+    let answered_after =
+        |moment: Time| polling.last_answered_sent.is_some_and(|answered| answered > moment);
+    let unsettled = known.runs.values().any(|held| {
+        held.phase == Phase::Unsure
+            && !answered_after(held.stop_confirmed.unwrap_or(held.phase_since))
+    });
+    let in_doubt = !known.fenced || polling.failures > 0;
+    let unknown = in_doubt && (known.is_registered || !known.runs.is_empty());
+    let at_once = unknown || unsettled;
+    let running =
+        known.has_orphan_runs || known.runs.values().any(|held| held.phase != Phase::Recorded);
+    if !at_once && (polling.long_poll_in_flight || !wants_poll(known, now, running)) {
+        return None;
+    }
+    let until_ms = known
+        .clock
+        .filter(|_| running)
+        .map(|clock| clock.estimate(now) + limits.lease.as_millis() as u64);
+    let wait = if at_once || !running { Duration::ZERO } else { poll_wait(known, limits) };
+    Some(PollOrder { until_ms, acknowledged: known.stored_end, wait })
+}
+
+/// Whether a poll is due for an executor whose polls get responses.
+fn wants_poll(known: &Executor, now: Time, running: bool) -> bool {
+    if known.processed_end > known.stored_end {
+        // The response repeats ended runs that are not acknowledged and is sent at once, so such a
+        // poll cannot wait for further ends.
+        let last_contact = known.clock.map_or(Time::ZERO, |clock| clock.received);
+        return running && now.since(last_contact) >= UNSTORED_POLL_INTERVAL;
+    }
+    running || known.stored_end > known.acknowledged_end
+}
+
+fn poll_wait(known: &Executor, limits: &Limits) -> Duration {
+    if known.runs.values().any(|held| held.target_tail.is_some()) {
+        SERVING_POLL_WAIT.min(limits.look_wait)
+    } else {
+        limits.look_wait
+    }
+}
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -1,9 +1,9 @@
-//! A new leader takes over.
+//! Takeover by a new leader.
 //!
-//! It knows from the ledger which runs its predecessor assigned where. What of them runs, it learns
-//! by looking at each executor under its own token: an executor that has answered refuses every
-//! order that carries an older one, also those that arrive late. Tasks on executors that do not
-//! answer wait until the longest lease of the predecessor has ended; all others go on at once.
+//! The ledger names the runs that earlier leaders assigned to each executor. The new leader learns
+//! which of them exist by polling each executor with its own fencing token; from its response on,
+//! an executor refuses all orders with an older token, including late ones. Tasks on executors that
+//! do not respond wait until the longest inherited lease has expired; all others continue at once.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -22,7 +22,7 @@
     reducer::{
         Limits, Scheduler,
         advice::Advice,
-        executors::{Executor, Held, Phase},
+        executors::{Executor, HeldRun, Phase},
         failed_starts::FailedStarts,
         host_list::Fleet,
         kept_room::KeptRoom,
@@ -40,7 +40,7 @@
 };
 
 impl Scheduler {
-    /// Takes over with a ledger, whose last append was one less than `next_append`.
+    /// Takes over with a ledger that includes all appends below `next_append`.
     pub fn recover(
         limits: Limits,
         now: Now,
@@ -88,19 +88,19 @@
             scheduler.record(Record::TermBegan);
         }
         scheduler.inherit_ends();
-        scheduler.renew_times(now);
+        scheduler.refresh_job_states(now);
         scheduler.inherit_runs(now);
         scheduler.touched = scheduler.ledger.jobs.keys().cloned().collect();
         scheduler
     }
 
-    /// Whatever the ledger holds now is stored, so it may be acknowledged.
+    /// Marks the ended runs in the ledger as stored, so that they are acknowledged.
     fn inherit_ends(&mut self) {
         let names: Vec<ExecutorName> = self.executors.keys().cloned().collect();
         for executor in names {
             let stored = self.ledger.last_ends.get(&executor).copied().unwrap_or(0);
             let Some(known) = self.executors.get_mut(&executor) else { continue };
-            known.taken_end = stored;
+            known.processed_end = stored;
             known.stored_end = stored;
         }
     }
@@ -118,10 +118,10 @@
             self.inherit_run(now, &executor, pool, &task, held, until);
         }
         for (task, left) in self.ledger.lingering_runs.clone() {
-            let held = Held {
+            let held = HeldRun {
                 size: left.size,
                 charge: Some(left.charge),
-                ..Held::new(left.run, Phase::Inherited, now.time)
+                ..HeldRun::new(left.run, Phase::Inherited, now.time)
             };
             self.inherit_run(now, &left.executor, PoolName::from(""), &task, held, until);
             self.order_stop(now, &left.executor, &task);
@@ -129,10 +129,10 @@
         self.inherit_restarts(now);
     }
 
-    /// Executors that have started again since an earlier leader gave them their runs.
+    /// Handles executors that have restarted since an earlier leader assigned them runs.
     fn inherit_restarts(&mut self, now: Now) {
         let later = |name: &ExecutorName| {
-            let latest = self.executors.latest_life(name).filter(|latest| *latest != name);
+            let latest = self.executors.latest_incarnation(name).filter(|latest| *latest != name);
             Some((name.clone(), latest?.clone()))
         };
         let restarted: Vec<_> = self.executors.keys().filter_map(later).collect();
@@ -141,50 +141,50 @@
         }
     }
 
-    /// Takes in a run that an earlier leader has ordered. Its executor may not be registered any
-    /// more, and the run go on there all the same.
+    /// Adds a run that an earlier leader assigned. The run may go on even if its executor is no
+    /// longer registered.
     fn inherit_run(
         &mut self,
         now: Now,
         executor: &ExecutorName,
         pool: PoolName,
         task: &TaskKey,
-        held: Held,
+        held: HeldRun,
         until: Time,
     ) {
         if self.executors.get(executor).is_none() {
             let mut unregistered = Executor::new(unknown_registration(executor, pool), now.time);
             let stored = self.ledger.last_ends.get(executor).copied().unwrap_or(0);
-            unregistered.present = false;
-            unregistered.hearsay = true;
-            unregistered.taken_end = stored;
+            unregistered.is_registered = false;
+            unregistered.known_from_ledger_only = true;
+            unregistered.processed_end = stored;
             unregistered.stored_end = stored;
             self.executors.insert(unregistered);
         }
-        self.executors.hold(executor, task, held);
-        self.watch_suspect(now, executor, task);
+        self.executors.insert_run(executor, task, held);
+        self.track_suspect(now, executor, task);
         if let Some(known) = self.executors.get_mut(executor) {
             known.inherited_until = Some(until);
         }
     }
 
-    /// What is to be known of a run of a task.
+    /// The entry for a run of a task in the given phase; `None` if the task is unknown.
     pub(super) fn held_for(
         &self,
         now: Time,
         task: &TaskKey,
         run: u32,
         phase: Phase,
-    ) -> Option<Held> {
+    ) -> Option<HeldRun> {
         let job = self.ledger.jobs.get(&task.job)?;
         let step = job.step(task.step)?;
-        Some(Held {
+        Some(HeldRun {
             size: reserved(step),
             charge: charge_of(job, step),
             lasting: step.lasting,
-            fills: step.best_effort,
+            best_effort: step.best_effort,
             target_tail: step.target_tail,
-            ..Held::new(run, phase, now)
+            ..HeldRun::new(run, phase, now)
         })
     }
 }
@@ -207,7 +207,8 @@
     }
 }
 
-/// Stands for an executor that is named in the ledger but not registered; nothing is sent to it.
+/// The registration of an executor that the ledger names but that is not registered, with an
+/// address that no order can reach.
 fn unknown_registration(executor: &ExecutorName, pool: PoolName) -> Registration {
     Registration {
         executor: executor.clone(),
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/run_ends.rs
@@ -1,4 +1,4 @@
-//! Runs end, or are known never to have begun.
+//! Processes ended runs, and releases tasks whose run is known not to exist.
 
 use borageswitch_types::names::ExecutorName;
 
@@ -11,8 +11,13 @@
 };
 
 impl Scheduler {
-    /// Frees a task that certainly does not run on an executor and never will.
-    pub(super) fn release(&mut self, executor: &ExecutorName, task: &TaskKey, why: &'static str) {
+    /// Releases a task whose run is certain not to exist on an executor, now or later.
+    pub(super) fn release_run(
+        &mut self,
+        executor: &ExecutorName,
+        task: &TaskKey,
+        why: &'static str,
+    ) {
         let Some(held) = self.executors.drop_run(executor, task) else { return };
         self.starting.over(task, held.run);
         let Some(known) = self.executors.get(executor) else { return };
@@ -21,14 +26,14 @@
             format!("run={} executor={executor} why={why}", held.run)
         });
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
-        let is_left = self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
-        if is_left || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
+        let is_leftover = self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
+        if is_leftover || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
             self.record(Record::Released { task: task.clone(), run: held.run });
         }
     }
 
-    /// Takes in the end of a run, whoever told of it.
-    pub(super) fn ended(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
+    /// Records the end of a run that an executor has reported.
+    pub(super) fn handle_run_end(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
         let Some(known) = self.executors.get(executor) else { return };
         self.starting.over(&ended.task, ended.run);
         let is_held = known.runs.get(&ended.task).is_some_and(|held| held.run == ended.run);
@@ -39,18 +44,18 @@
         }
         let pool = known.registration.pool.clone();
         match ended.how {
-            EndKind::Done => known.trust.record_success(),
+            EndKind::Done => known.circuit_breaker.record_success(),
             EndKind::Failed => self.note_failure(now, executor, &ended.task),
-            EndKind::GangIncomplete => self.note_alone(now, &ended.task),
+            EndKind::GangIncomplete => self.note_gang_incomplete(now, &ended.task),
             EndKind::Stopped | EndKind::LeaseExpired | EndKind::GangBroken => {}
         }
         if let Some(held) = held.filter(|_| ended.how == EndKind::Done) {
-            self.learn(now, &ended.task, &held);
+            self.learn_duration(now, &ended.task, &held);
         }
         self.stirred.insert(pool);
         self.touched.insert(ended.task.job.clone());
-        if let Some(times) = self.times.get_mut(&ended.task.job) {
-            times.begun = true;
+        if let Some(job_state) = self.times.get_mut(&ended.task.job) {
+            job_state.begun = true;
         }
         self.log("run-ended", &ended.task, || {
             format!("run={} executor={executor} how={}", ended.run, ended.how)
@@ -67,23 +72,22 @@
         self.stop_leftovers(now, &ended.task, ended.how);
     }
 
-    /// A failure counts against an executor unless the task has failed on another one before: then
-    /// the task itself is the likelier cause.
+    /// Counts a failed run against the executor, unless the task has failed before or its job has
+    /// failed on another executor: then the task itself is the likelier cause.
     fn note_failure(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let failed_before = self.ledger.task(task).is_some_and(|state| state.failures > 0);
-        let job_doubted = self
-            .times
-            .get(&task.job)
-            .is_some_and(|times| times.failed_on.as_ref().is_some_and(|other| other != executor));
-        if let Some(times) = self.times.get_mut(&task.job) {
-            times.failed_on.get_or_insert_with(|| executor.clone());
+        let job_suspected = self.times.get(&task.job).is_some_and(|job_state| {
+            job_state.failed_on.as_ref().is_some_and(|other| other != executor)
+        });
+        if let Some(job_state) = self.times.get_mut(&task.job) {
+            job_state.failed_on.get_or_insert_with(|| executor.clone());
         }
-        if failed_before || job_doubted {
+        if failed_before || job_suspected {
             return;
         }
         if let Some(known) = self.executors.get_mut(executor) {
-            known.trust.record_failure(now.time);
-            if known.trust.is_tripped() {
+            known.circuit_breaker.record_failure(now.time);
+            if known.circuit_breaker.is_tripped() {
                 self.log("executor-distrusted", executor, || format!("after a failure of {task}"));
             }
         }
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -1,7 +1,8 @@
-//! Tasks under which executors have crashed; how they are treated, [`crate::policy::crash_attribution`] decides.
+//! Suspects, the tasks under which executors have crashed; [`crate::policy::crash_attribution`] defines how
+//! they are treated.
 //!
-//! A suspect is started again, away from other suspects, until one of its runs has lived for long
-//! enough, or the evidence against it suffices and its job has failed.
+//! A suspect is restarted apart from other suspects until one of its runs has survived for long
+//! enough, or the evidence against it suffices to give its job up as failed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,30 +29,30 @@
     task::TaskKey,
 };
 
-/// How long a run of unknown age is taken to have been there: an earlier leader started it.
+/// The age that is assumed for a run that an earlier leader started.
 const UNKNOWN_AGE: Duration = crash_attribution::START_RELATED_AGE;
-/// How long nothing is started on an executor after a start of an isolated task.
+/// How long nothing else is started on an executor after the start of an isolated suspect.
 const ISOLATION: Duration = crash_attribution::START_RELATED_AGE;
 
-/// The suspects that run, and what is remembered of crashes.
+/// The suspects that are running, and the history of crashes.
 #[derive(Debug, Default)]
 pub struct Suspects {
     history: CrashHistory,
-    /// Runs of suspects that have not lived for long enough yet.
+    /// Suspects whose present run has not survived for long enough yet, by executor.
     on_probation: BTreeMap<ExecutorName, BTreeSet<TaskKey>>,
 }
 
 impl Suspects {
-    /// How many suspects an executor has that have not lived for long enough yet.
+    /// The number of suspects on an executor that have not survived for long enough yet.
     pub(super) fn count_on(&self, executor: &ExecutorName) -> usize {
         self.on_probation.get(executor).map_or(0, BTreeSet::len)
     }
 
-    fn watch(&mut self, executor: &ExecutorName, task: &TaskKey) {
+    fn track(&mut self, executor: &ExecutorName, task: &TaskKey) {
         self.on_probation.entry(executor.clone()).or_default().insert(task.clone());
     }
 
-    fn drop_from(&mut self, executor: &ExecutorName, task: &TaskKey) {
+    fn untrack(&mut self, executor: &ExecutorName, task: &TaskKey) {
         let Some(tasks) = self.on_probation.get_mut(executor) else { return };
         tasks.remove(task);
         if tasks.is_empty() {
@@ -61,12 +62,12 @@
 }
 
 impl Scheduler {
-    /// How a task is to be treated.
+    /// The standing of a task, by the crashes under it.
     pub(super) fn standing(&self, task: &TaskKey) -> SuspicionLevel {
         SuspicionLevel::of(self.ledger.crashes_of(task))
     }
 
-    /// Whether an executor's host has crashed again and again.
+    /// Whether the host of an executor has crashed repeatedly.
     pub(super) fn is_unsteady(&self, now: Now, executor: &ExecutorName) -> bool {
         let history = &self.suspects.history;
         if history.is_empty() {
@@ -76,13 +77,13 @@
         host.is_some_and(|host| history.is_crash_prone(now.time, host))
     }
 
-    /// A task was placed: a suspect is watched, and an isolated one is left alone for a while.
-    pub(super) fn watch_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    /// Tracks a placed task if it is a suspect; an isolated one blocks its executor for a while.
+    pub(super) fn track_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let standing = self.standing(task);
         if standing == SuspicionLevel::Clear {
             return;
         }
-        self.suspects.watch(executor, task);
+        self.suspects.track(executor, task);
         if standing >= SuspicionLevel::Isolated
             && let Some(known) = self.executors.get_mut(executor)
         {
@@ -90,17 +91,20 @@
         }
     }
 
-    /// Takes in what a crash says about the tasks that ran there. `others` crashed in the same moment;
-    /// `started_on` tells on how many of all these a job had just started.
-    pub(super) fn take_crash(
+    /// Attributes the crash of an executor to its tasks.
+    ///
+    /// `others` is the number of executors that crashed at the same moment, and `started_on` the
+    /// number of crashed executors on which each job had recently started.
+    pub(super) fn attribute_crash(
         &mut self,
         now: Now,
         ended: &EndedExecutor,
         others: usize,
         started_on: &BTreeMap<JobName, usize>,
     ) {
-        let open = |lost: &&LostRun| self.ledger.task(&lost.task).is_some_and(|state| !state.done);
-        let runs: Vec<&LostRun> = ended.runs.iter().filter(open).collect();
+        let is_open =
+            |lost: &&LostRun| self.ledger.task(&lost.task).is_some_and(|state| !state.done);
+        let runs: Vec<&LostRun> = ended.runs.iter().filter(is_open).collect();
         let jobs: BTreeSet<JobName> = runs.iter().map(|lost| lost.task.job.clone()).collect();
         self.count_crash(&jobs);
         let present: Vec<PossibleCause> = jobs.iter().map(|job| self.present(job, &runs)).collect();
@@ -113,30 +117,32 @@
                 let evidence = self.evidence(now, ended, lost, shares[job]);
                 return Some(suspicion(now, ended, lost, evidence));
             }
-            crash_attribution::is_start_related(lost.lived).then(|| suspicion(now, ended, lost, 0))
+            crash_attribution::is_start_related(lost.min_age).then(|| suspicion(now, ended, lost, 0))
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         self.suspects.history.add_crash(now.time, ended.host().cloned(), jobs);
-        self.suspect(suspicions);
+        self.record_suspicions(suspicions);
     }
 
-    /// Takes in that an executor has gone for another reason, or an unknown one, a moment after tasks
-    /// were started there. It says nothing against them, but counts for the bound on restarts: a
-    /// crash may be hidden by a drain, or have been seen by a leader that could not store it.
-    pub(super) fn take_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let soon = ended.runs.iter().filter(|lost| crash_attribution::is_start_related(lost.lived));
-        let suspicions = soon.map(|lost| suspicion(now, ended, lost, 0));
-        self.suspect(suspicions.collect());
+    /// Records suspicions without evidence against tasks that had recently started on an executor
+    /// which ended for another or an unknown reason.
+    ///
+    /// They count for the limit on restarts: a drain may hide a crash, or an earlier leader may
+    /// have seen a crash that it could not store.
+    pub(super) fn note_unattributed_loss(&mut self, now: Now, ended: &EndedExecutor) {
+        let recent = ended.runs.iter().filter(|lost| crash_attribution::is_start_related(lost.min_age));
+        let suspicions = recent.map(|lost| suspicion(now, ended, lost, 0));
+        self.record_suspicions(suspicions.collect());
     }
 
-    fn suspect(&mut self, suspicions: Vec<Suspicion>) {
+    fn record_suspicions(&mut self, suspicions: Vec<Suspicion>) {
         if suspicions.is_empty() {
             return;
         }
         let tasks: Vec<TaskKey> = suspicions.iter().map(|s| s.task.clone()).collect();
         self.record(Record::Crashed { suspicions });
         for task in tasks {
-            self.judge(&task);
+            self.review_suspect(&task);
         }
     }
 
@@ -150,7 +156,7 @@
         crash_attribution::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
-    /// A job as one of those that ran on an executor: its task that is the likeliest cause.
+    /// Summarises a job's runs on a crashed executor by the task that is the likeliest cause.
     fn present(&self, job: &JobName, runs: &[&LostRun]) -> PossibleCause {
         let of_job = runs.iter().filter(|lost| lost.task.job == *job);
         let mut present = PossibleCause { evidence: 0, window: Duration::MAX };
@@ -163,20 +169,20 @@
         present
     }
 
-    /// Gives a task up if the evidence suffices; else watches the run that it may have by now.
-    fn judge(&mut self, task: &TaskKey) {
-        if self.standing(task) == SuspicionLevel::Poison || self.is_culprit_job(&task.job) {
-            self.give_up_culprit(task);
+    /// Gives a suspect up if the evidence suffices; otherwise tracks the run that it may have.
+    fn review_suspect(&mut self, task: &TaskKey) {
+        if self.standing(task) == SuspicionLevel::Poison || self.is_poison_job(&task.job) {
+            self.give_up_poison_task(task);
             return;
         }
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
         if let Some(executor) = assigned.map(|assigned| assigned.executor.clone()) {
-            self.suspects.watch(&executor, task);
+            self.suspects.track(&executor, task);
         }
     }
 
-    /// Whether the crashes under a job's tasks speak against it, taken together.
-    fn is_culprit_job(&self, name: &JobName) -> bool {
+    /// Whether the crashes under all tasks of a job together suffice as evidence against the job.
+    fn is_poison_job(&self, name: &JobName) -> bool {
         let Some(job) = self.ledger.jobs.get(name) else { return false };
         let steps = &job.submission.spec.steps;
         let tasks: usize = steps.iter().map(|step| step.count as usize).sum();
@@ -184,7 +190,7 @@
         crash_attribution::is_poison_job(crashes, tasks * job.progress.open.len().max(1))
     }
 
-    fn give_up_culprit(&mut self, task: &TaskKey) {
+    fn give_up_poison_task(&mut self, task: &TaskKey) {
         if self.ledger.given_up.contains_key(&task.job) {
             return;
         }
@@ -201,31 +207,32 @@
         self.suspects.history.discard_caused_by(&task.job);
     }
 
-    /// Takes in how long suspects have lived on executors that still answer.
+    /// Records how long suspects have survived on executors that still respond, and stops tracking
+    /// those that have no run or no crashes left.
     pub(super) fn clear_suspects(&mut self) {
-        let (mut over, mut outlived) = (Vec::new(), Vec::new());
+        let (mut untracked, mut survived) = (Vec::new(), Vec::new());
         for (executor, tasks) in &self.suspects.on_probation {
             for task in tasks {
                 let known = self.executors.get(executor);
-                let held = known.and_then(|known| Some(known.lived(known.runs.get(task)?)));
+                let held = known.and_then(|known| Some(known.min_run_age(known.runs.get(task)?)));
                 let crashes = self.ledger.crashes_of(task);
                 match held {
-                    Some(lived)
+                    Some(age)
                         if crashes
                             .iter()
-                            .any(|crash| crash_attribution::exonerates(lived, crash)) =>
+                            .any(|crash| crash_attribution::exonerates(age, crash)) =>
                     {
-                        outlived.push((executor.clone(), task.clone(), lived.as_millis() as u64));
+                        survived.push((executor.clone(), task.clone(), age.as_millis() as u64));
                     }
                     Some(_) if !crashes.is_empty() => {}
-                    _ => over.push((executor.clone(), task.clone())),
+                    _ => untracked.push((executor.clone(), task.clone())),
                 }
             }
         }
-        for (executor, task) in over {
-            self.suspects.drop_from(&executor, &task);
+        for (executor, task) in untracked {
+            self.suspects.untrack(&executor, &task);
         }
-        for (executor, task, millis) in outlived {
+        for (executor, task, millis) in survived {
             self.log("suspect-lives", &task, || format!("executor={executor} lived_ms={millis}"));
             self.record(Record::Survived { task, millis });
         }
@@ -249,8 +256,8 @@
         executor: ended.executor.clone(),
         at: now.wall,
         run: lost.run,
-        age_ms: lost.age.unwrap_or(UNKNOWN_AGE).as_millis() as u64,
-        lived_ms: lost.lived.as_millis() as u64,
+        age_ms: lost.max_age.unwrap_or(UNKNOWN_AGE).as_millis() as u64,
+        lived_ms: lost.min_age.as_millis() as u64,
         evidence,
     };
     Suspicion { task: lost.task.clone(), crash }
