--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -16,8 +16,8 @@
     ledger::job::Job,
     reducer::{
         Scheduler,
-        places::{fits_labels, reserved},
-        rooms::Room,
+        free_capacity::FreeCapacity,
+        places::{fits_labels, reserved_size},
     },
     task::StepKey,
 };
@@ -86,7 +86,7 @@
     ///
     /// Hosts with room that were not asked about yet come in, whether or not others are permitted:
     /// those may be full, or have as many tasks of the step as they may have.
-    pub(super) fn ask_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
+    pub(super) fn ask_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &FreeCapacity) {
         let advice = &self.advice;
         let busy = advice.asking.len() >= MAX_CALLS || advice.asking.contains_key(key);
         if busy || now.time < advice.not_before {
@@ -96,7 +96,7 @@
             let known = self.executors.get(executor);
             known.is_some_and(|known| fits_labels(step, known))
         };
-        let size = reserved(step);
+        let size = reserved_size(step);
         let mut ask: Vec<ExecutorName> = room
             .iter()
             .filter(|(_, free)| free.holds(&size))
@@ -124,7 +124,7 @@
         allowed: Option<Vec<(ExecutorName, Arc<str>)>>,
     ) {
         self.advice.asking.remove(step);
-        self.stir_pool_of(&step.job);
+        self.mark_pool_dirty(&step.job);
         let Some(allowed) = allowed else {
             self.advice.not_before = now.time + RETRY_PAUSE;
             self.log("advice-missing", step, || "no answer".to_owned());
--- a/crates/borageswitch_scheduler/src/reducer/emptying.rs
+++ b/crates/borageswitch_scheduler/src/reducer/draining.rs
@@ -18,17 +18,17 @@
     reducer::{
         Scheduler,
         executors::{Executor, Held},
-        places::reserved,
+        places::reserved_size,
     },
     task::{StepKey, TaskKey},
 };
 
 /// An executor that has said nothing for so long may have ended: what it runs is not counted on
 /// when another task of the same step is to be interrupted. Looks are answered within a second.
-const LAST_WORD: Duration = Duration::from_millis(2_500);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(2_500);
 
 impl Scheduler {
-    pub(super) fn is_empty(&self, executor: &ExecutorName) -> bool {
+    pub(super) fn is_drained(&self, executor: &ExecutorName) -> bool {
         self.executors
             .get(executor)
             .is_none_or(|known| known.runs.is_empty() && known.acknowledged >= known.taken_end)
@@ -39,7 +39,7 @@
     /// A run that has nowhere else to go stays until all others have ended, and is then away only
     /// for as long as the order takes: stopped first, its users would wait for the slowest of its
     /// neighbours as well.
-    pub(super) fn empty(&mut self, now: Now, executor: &ExecutorName) {
+    pub(super) fn drain_executor(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.emptying = true;
         let pool = known.registration.pool.clone();
@@ -76,7 +76,7 @@
     }
 
     /// The lasting tasks of a pool on hosts that are being emptied, which cannot leave together.
-    pub(super) fn stuck_tasks(&self, pool: &PoolName) -> Vec<TaskKey> {
+    pub(super) fn undrainable_tasks(&self, pool: &PoolName) -> Vec<TaskKey> {
         let mut stuck = Vec::new();
         for host in self.fleet.withdrawals.keys() {
             let entry = self.fleet.hosts.get(host).filter(|entry| entry.pool == *pool);
@@ -103,10 +103,12 @@
     ) -> bool {
         let step = self.ledger.jobs.get(&task.job).and_then(|job| job.step(task.step));
         let Some(step) = step else { return true };
-        let (key, size) = (task.step_key(), reserved(step));
-        let mut room =
-            self.rooms.of(pool).filter(|(name, free)| *name != executor && free.holds(&size));
-        room.any(|(name, _)| {
+        let (key, size) = (task.step_key(), reserved_size(step));
+        let mut available = self
+            .free_capacity
+            .of(pool)
+            .filter(|(name, free)| *name != executor && free.holds(&size));
+        available.any(|(name, _)| {
             let open = self.executors.get(name).is_some_and(|known| known.is_open(now.time));
             open && self.may_run_on(now, &key, step, name, 0)
         })
@@ -116,9 +118,9 @@
     ///
     /// Hundreds of hosts are emptied at once in a wave. Counted for each task of each of them, the
     /// siblings that are away would take most of a core, and hardly anything would be started.
-    pub(super) fn note_away(&mut self, now: Now) {
-        let taken = self.about_to_be_taken(now.time);
-        let mut away = BTreeMap::new();
+    pub(super) fn update_unavailable(&mut self, now: Now) {
+        let taken = self.executors_with_pending_orders(now.time);
+        let mut unavailable = BTreeMap::new();
         for (name, job) in self.ledger.jobs.iter().filter(|(_, j)| j.submission.spec.is_lasting()) {
             for &occurrence in job.progress.open.keys() {
                 for (number, step) in job.submission.spec.steps.iter().enumerate() {
@@ -126,11 +128,11 @@
                     let absent =
                         |index: &u32| !self.is_at_work(now.time, &key.task(*index), &taken);
                     let absent: BTreeSet<u32> = (0..step.count).filter(absent).collect();
-                    away.insert(key, absent);
+                    unavailable.insert(key, absent);
                 }
             }
         }
-        self.away = away;
+        self.unavailable = unavailable;
     }
 
     /// Whether a lasting task may be away for a moment: so many of its step may be at once.
@@ -143,15 +145,16 @@
         let Some(job) = self.ledger.jobs.get(&task.job) else { return true };
         let Some(step) = job.step(task.step) else { return true };
         let Some(most) = step.max_unavailable else { return true };
-        let Some(away) = self.away.get(&task.step_key()) else { return false };
-        away.iter().filter(|&&index| index != task.index).count() + others < most as usize
+        let Some(unavailable) = self.unavailable.get(&task.step_key()) else { return false };
+        unavailable.iter().filter(|&&index| index != task.index).count() + others < most as usize
     }
 
     /// Executors whose hosts an order of an earlier leader may be about to take away. Its answer never
     /// came to this leader, and what they last said is from before it: counted on, a task there and
     /// the one that is interrupted beside it would both be away.
-    fn about_to_be_taken(&self, now: Time) -> BTreeSet<&ExecutorName> {
-        let paused = self.inherited_orders.keys().filter(|host| self.is_paused(now, host));
+    fn executors_with_pending_orders(&self, now: Time) -> BTreeSet<&ExecutorName> {
+        let paused =
+            self.inherited_host_orders.keys().filter(|host| self.is_order_paused(now, host));
         paused.filter_map(|host| self.fleet.hosts.get(host)?.executor.as_ref()).collect()
     }
 
@@ -159,11 +162,12 @@
     fn is_at_work(&self, now: Time, task: &TaskKey, taken: &BTreeSet<&ExecutorName>) -> bool {
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
         let executor = assigned.and_then(|assigned| self.executors.get(&assigned.executor));
-        let answers = |known: &&Executor| {
-            let heard = known.clock.is_some_and(|clock| now.since(clock.received) < LAST_WORD);
-            heard && known.looking.failures == 0
+        let responsive = |known: &&Executor| {
+            let recent =
+                known.clock.is_some_and(|clock| now.since(clock.received) < MAX_REPORT_AGE);
+            recent && known.looking.failures == 0
         };
-        let held = executor.filter(answers).and_then(|known| known.runs.get(task));
+        let held = executor.filter(responsive).and_then(|known| known.runs.get(task));
         held.is_some_and(Held::is_at_work)
             && assigned.is_some_and(|assigned| !taken.contains(&assigned.executor))
     }
--- a/crates/borageswitch_scheduler/src/reducer/ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/ends.rs
@@ -14,9 +14,9 @@
     /// Frees a task that certainly does not run on an executor and never will.
     pub(super) fn release(&mut self, executor: &ExecutorName, task: &TaskKey, why: &'static str) {
         let Some(held) = self.executors.drop_run(executor, task) else { return };
-        self.starting.over(task, held.run);
+        self.pending_starts.finish(task, held.run);
         let Some(known) = self.executors.get(executor) else { return };
-        self.stirred.insert(known.registration.pool.clone());
+        self.dirty_pools.insert(known.registration.pool.clone());
         self.log("run-released", task, || {
             format!("run={} executor={executor} why={why}", held.run)
         });
@@ -30,7 +30,7 @@
     /// Takes in the end of a run, whoever told of it.
     pub(super) fn ended(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
         let Some(known) = self.executors.get(executor) else { return };
-        self.starting.over(&ended.task, ended.run);
+        self.pending_starts.finish(&ended.task, ended.run);
         let is_held = known.runs.get(&ended.task).is_some_and(|held| held.run == ended.run);
         let held = is_held.then(|| self.executors.drop_run(executor, &ended.task)).flatten();
         let Some(known) = self.executors.get_mut(executor) else { return };
@@ -47,8 +47,8 @@
         if let Some(held) = held.filter(|_| ended.how == EndKind::Done) {
             self.learn(now, &ended.task, &held);
         }
-        self.stirred.insert(pool);
-        self.touched.insert(ended.task.job.clone());
+        self.dirty_pools.insert(pool);
+        self.maybe_ended.insert(ended.task.job.clone());
         if let Some(times) = self.times.get_mut(&ended.task.job) {
             times.begun = true;
         }
@@ -63,8 +63,8 @@
             how: ended.how,
             checkpoint: ended.checkpoint.clone(),
         });
-        self.outbox.then_acknowledge(executor.clone(), ended.number);
-        self.stop_leftovers(now, &ended.task, ended.how);
+        self.outbox.defer_acknowledge(executor.clone(), ended.number);
+        self.stop_redundant_runs(now, &ended.task, ended.how);
     }
 
     /// A failure counts against an executor unless the task has failed on another one before: then
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -10,7 +10,7 @@
     job::Size,
     life,
     policy::{quotas::Charge, trust::Trust},
-    reducer::{clock::ClockReading, crashes::LostRun, pace::FULL_PACE},
+    reducer::{clock::ClockReading, crashes::LostRun, speed_limits::FULL_SPEED},
     task::TaskKey,
 };
 
@@ -89,7 +89,7 @@
             percent: 0,
             recent: 0,
             // Whatever pace an earlier leader may have given is not known.
-            pace: (phase == Phase::Recorded).then_some(FULL_PACE),
+            pace: (phase == Phase::Recorded).then_some(FULL_SPEED),
             confirmed: false,
             stop_sent: None,
             barred: None,
@@ -318,7 +318,7 @@
     /// When the last lease that it may have has ended for certain.
     pub fn lapse(&self) -> Option<Time> {
         match self.clock {
-            Some(clock) => Some(clock.latest(self.lease_ms)),
+            Some(clock) => Some(clock.latest_expiry(self.lease_ms)),
             None => self.inherited_until,
         }
     }
@@ -327,7 +327,7 @@
     /// of each life begins anew.
     pub fn is_other_life(&self, sent: Time, clock_ms: u64) -> bool {
         let may_return = life::born(&self.registration.executor).is_some();
-        may_return && self.clock.is_some_and(|clock| clock_ms < clock.earliest(sent))
+        may_return && self.clock.is_some_and(|clock| clock_ms < clock.least_reading(sent))
     }
 
     /// Takes in a reading of its clock.
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -14,7 +14,7 @@
     reducer::{
         Scheduler,
         executors::Executor,
-        places::{fits_labels, reserved},
+        places::{fits_labels, reserved_size},
         waiting::charge_of,
     },
     task::StepKey,
@@ -106,7 +106,7 @@
             format!("{host}: {:?}, {:?}", withdrawal.purpose, withdrawal.stage)
         });
         StateDump {
-            leads_for_ms: now.time.since(self.began).as_millis() as u64,
+            leads_for_ms: now.time.since(self.took_over_at).as_millis() as u64,
             config_version: self.config.as_ref().map(|config| config.version),
             open_jobs,
             ended_jobs: self.ledger.finished.len(),
@@ -227,7 +227,7 @@
         if let Some(line) = self.explain_quota(key, step) {
             return line;
         }
-        let size = reserved(step);
+        let size = reserved_size(step);
         let mut counts: BTreeMap<&'static str, usize> = BTreeMap::new();
         let members = self.executors.iter().filter(|(_, e)| e.registration.pool == *pool);
         for (executor, known) in members {
@@ -270,7 +270,7 @@
         if let Some(withdrawal) = self.fleet.withdrawals.get(host) {
             lines.push(format!("taken out for {:?}: {:?}", withdrawal.purpose, withdrawal.stage));
         }
-        if self.is_paused(now.time, host) {
+        if self.is_order_paused(now.time, host) {
             lines.push("an earlier leader ordered it about of late; no order yet".to_owned());
         }
         let Some(executor) = &entry.executor else {
--- a/crates/borageswitch_scheduler/src/reducer/kept_room.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gang_reservations.rs
@@ -23,24 +23,24 @@
     reducer::{
         Scheduler,
         executors::{Executor, Held},
-        places::{fits_labels, reserved},
-        rooms::Room,
-        waiting::Order,
+        free_capacity::FreeCapacity,
+        places::{fits_labels, reserved_size},
+        waiting::WaitingOrder,
     },
     task::{StepKey, TaskKey},
 };
 
 /// The shortest time between two lines about what a pool's waiting gang lacks.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// For so many gangs of a pool, the most urgent first, hosts are looked for in such an interval. To
 /// look costs a walk over the pool's hosts, and what is found lasts for about a second.
-const TRIES: u32 = 4;
-const TRY_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u32 = 4;
+const ATTEMPT_WINDOW: Duration = Duration::from_millis(100);
 
 /// The hosts that are kept for a gang.
 #[derive(Debug)]
-struct Kept {
+struct Reservation {
     step: StepKey,
     executors: BTreeSet<ExecutorName>,
     since: Time,
@@ -48,7 +48,7 @@
 
 /// A gang for which hosts of other pools are fetched.
 #[derive(Debug)]
-struct Fetched {
+struct GangFetch {
     step: StepKey,
     pool: PoolName,
     since: Time,
@@ -56,79 +56,91 @@
 
 /// The gangs that wait, and what is done for them.
 #[derive(Debug, Default)]
-pub struct KeptRoom {
+pub struct GangReservations {
     /// Since when a gang has found no room.
-    missed: BTreeMap<StepKey, Time>,
-    kept: BTreeMap<PoolName, Kept>,
-    fetched: Option<Fetched>,
-    told: BTreeMap<PoolName, Time>,
+    unplaced_since: BTreeMap<StepKey, Time>,
+    by_pool: BTreeMap<PoolName, Reservation>,
+    fetch: Option<GangFetch>,
+    logged: BTreeMap<PoolName, Time>,
     /// For how many gangs of a pool hosts were looked for since that moment.
-    tries: BTreeMap<PoolName, (Time, u32)>,
+    attempts: BTreeMap<PoolName, (Time, u32)>,
 }
 
-impl KeptRoom {
-    fn may_try(&mut self, now: Time, pool: &PoolName) -> bool {
-        let (since, count) = self.tries.entry(pool.clone()).or_insert((now, 0));
-        if now.since(*since) >= TRY_INTERVAL {
+impl GangReservations {
+    fn allow_attempt(&mut self, now: Time, pool: &PoolName) -> bool {
+        let (since, count) = self.attempts.entry(pool.clone()).or_insert((now, 0));
+        if now.since(*since) >= ATTEMPT_WINDOW {
             (*since, *count) = (now, 0);
         }
         *count += 1;
-        *count <= TRIES
+        *count <= MAX_ATTEMPTS
     }
 
-    fn is_kept_for(&self, pool: &PoolName, step: &StepKey) -> bool {
-        self.kept.get(pool).is_some_and(|kept| kept.step == *step)
+    fn is_reserved_for(&self, pool: &PoolName, step: &StepKey) -> bool {
+        self.by_pool.get(pool).is_some_and(|reservation| reservation.step == *step)
     }
 }
 
 impl Scheduler {
     /// Drops what is kept for gangs that wait no more, or on hosts that cannot take them any more.
-    pub(super) fn renew_kept_room(&mut self, now: Now, pool: &PoolName, order: &Order) {
-        let Some(kept) = self.kept_room.kept.get(pool) else { return };
-        let waits = order.values().any(|step| step.key == kept.step);
+    pub(super) fn update_reservation(&mut self, now: Now, pool: &PoolName, order: &WaitingOrder) {
+        let Some(reservation) = self.gang_reservations.by_pool.get(pool) else { return };
+        let waits = order.values().any(|step| step.key == reservation.step);
         let usable = |executor: &ExecutorName| {
             self.executors.get(executor).is_some_and(|known| known.takes_work(now.time))
         };
-        let over = now.time.since(kept.since) >= gangs::KEPT_FOR;
-        if over {
+        let expired = now.time.since(reservation.since) >= gangs::KEPT_FOR;
+        if expired {
             // Others have their turn before room is kept for it again.
-            self.kept_room.missed.insert(kept.step.clone(), now.time);
+            self.gang_reservations.unplaced_since.insert(reservation.step.clone(), now.time);
         }
-        if over || !waits || !kept.executors.iter().all(usable) {
-            self.kept_room.kept.remove(pool);
+        if expired || !waits || !reservation.executors.iter().all(usable) {
+            self.gang_reservations.by_pool.remove(pool);
         }
     }
 
     /// Takes the room that is kept for a gang out of what all others may use.
-    pub(super) fn take_kept_room(&self, pool: &PoolName, room: &mut Room) -> Room {
-        let Some(kept) = self.kept_room.kept.get(pool) else { return Room::new() };
-        kept.executors.iter().filter_map(|executor| room.remove_entry(executor)).collect()
+    pub(super) fn take_reserved(
+        &self,
+        pool: &PoolName,
+        available: &mut FreeCapacity,
+    ) -> FreeCapacity {
+        let Some(reservation) = self.gang_reservations.by_pool.get(pool) else {
+            return FreeCapacity::new();
+        };
+        reservation
+            .executors
+            .iter()
+            .filter_map(|executor| available.remove_entry(executor))
+            .collect()
     }
 
     /// Whether room of a pool is kept for this step.
-    pub(super) fn has_kept_room(&self, pool: &PoolName, step: &StepKey) -> bool {
-        self.kept_room.is_kept_for(pool, step)
+    pub(super) fn has_reservation(&self, pool: &PoolName, step: &StepKey) -> bool {
+        self.gang_reservations.is_reserved_for(pool, step)
     }
 
     /// A gang has started.
     pub(super) fn gang_placed(&mut self, pool: &PoolName, step: &StepKey) {
-        self.kept_room.missed.remove(step);
-        if self.kept_room.is_kept_for(pool, step) {
-            self.kept_room.kept.remove(pool);
+        self.gang_reservations.unplaced_since.remove(step);
+        if self.gang_reservations.is_reserved_for(pool, step) {
+            self.gang_reservations.by_pool.remove(pool);
         }
-        if self.kept_room.fetched.as_ref().is_some_and(|fetched| fetched.step == *step) {
-            self.kept_room.fetched = None;
+        if self.gang_reservations.fetch.as_ref().is_some_and(|fetch| fetch.step == *step) {
+            self.gang_reservations.fetch = None;
         }
     }
 
     /// A gang has found no room: hosts are kept for it once it has waited, or fetched if its pool
     /// has too few.
-    pub(super) fn gang_missed(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
-        let since = *self.kept_room.missed.entry(key.clone()).or_insert(now.time);
-        if now.time.since(since) < gangs::PATIENCE || self.kept_room.kept.contains_key(pool) {
+    pub(super) fn gang_unplaced(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
+        let since = *self.gang_reservations.unplaced_since.entry(key.clone()).or_insert(now.time);
+        if now.time.since(since) < gangs::PATIENCE
+            || self.gang_reservations.by_pool.contains_key(pool)
+        {
             return;
         }
-        if !self.kept_room.may_try(now.time, pool) {
+        if !self.gang_reservations.allow_attempt(now.time, pool) {
             return;
         }
         let job = self.ledger.jobs.get(&key.job);
@@ -136,24 +148,24 @@
         let candidates = self.candidates_for_gang(now, pool, key, &step);
         let found = (candidates.len(), candidates.iter().map(|c| c.places).sum());
         match gangs::plan(step.count as usize, candidates) {
-            Plan::Keep(executors) => self.keep(now, pool, key, executors),
-            Plan::Wait => self.tell_lack(now, pool, key, &step, found),
+            Plan::Keep(executors) => self.reserve(now, pool, key, executors),
+            Plan::Wait => self.log_lack(now, pool, key, &step, found),
             Plan::Fetch => {
-                self.tell_lack(now, pool, key, &step, found);
+                self.log_lack(now, pool, key, &step, found);
                 self.fetch_for_gang(now, pool, key);
             }
         }
     }
 
-    fn keep(&mut self, now: Now, pool: &PoolName, key: &StepKey, executors: Vec<ExecutorName>) {
+    fn reserve(&mut self, now: Now, pool: &PoolName, key: &StepKey, executors: Vec<ExecutorName>) {
         self.log("gang-room-kept", key, || format!("pool={pool} hosts={}", executors.len()));
         let executors = executors.into_iter().collect();
-        let kept = Kept { step: key.clone(), executors, since: now.time };
-        self.kept_room.kept.insert(pool.clone(), kept);
+        let reservation = Reservation { step: key.clone(), executors, since: now.time };
+        self.gang_reservations.by_pool.insert(pool.clone(), reservation);
     }
 
     /// Says what a gang lacks, so that an operator finds out why its job does not start.
-    fn tell_lack(
+    fn log_lack(
         &mut self,
         now: Now,
         pool: &PoolName,
@@ -161,12 +173,12 @@
         step: &Step,
         (hosts, places): (usize, usize),
     ) {
-        let told = self.kept_room.told.get(pool);
-        if told.is_some_and(|at| now.time.since(*at) < LINE_INTERVAL) {
+        let logged = self.gang_reservations.logged.get(pool);
+        if logged.is_some_and(|at| now.time.since(*at) < LOG_INTERVAL) {
             return;
         }
-        self.kept_room.told.insert(pool.clone(), now.time);
-        let Size { cpu_milli, memory_mb, .. } = reserved(step);
+        self.gang_reservations.logged.insert(pool.clone(), now.time);
+        let Size { cpu_milli, memory_mb, .. } = reserved_size(step);
         let label = step.label.as_deref().unwrap_or("none").to_owned();
         let members = step.count;
         self.log("gang-waits", key, || {
@@ -178,13 +190,13 @@
     }
 
     fn fetch_for_gang(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
-        let over = self.kept_room.fetched.as_ref().is_none_or(|fetched| {
-            now.time.since(fetched.since) >= gangs::FETCHING
-                || !self.ledger.jobs.contains_key(&fetched.step.job)
+        let expired = self.gang_reservations.fetch.as_ref().is_none_or(|fetch| {
+            now.time.since(fetch.since) >= gangs::FETCHING
+                || !self.ledger.jobs.contains_key(&fetch.step.job)
         });
-        if over {
+        if expired {
             let (step, pool) = (key.clone(), pool.clone());
-            self.kept_room.fetched = Some(Fetched { step, pool, since: now.time });
+            self.gang_reservations.fetch = Some(GangFetch { step, pool, since: now.time });
         }
     }
 
@@ -195,7 +207,7 @@
         key: &StepKey,
         step: &Step,
     ) -> Vec<Candidate<ExecutorName>> {
-        let size = reserved(step);
+        let size = reserved_size(step);
         let of_pool = self
             .executors
             .iter()
@@ -203,28 +215,28 @@
         let suitable = of_pool.filter(|(name, _)| self.may_run_on(now, key, step, name, 0));
         let candidates = suitable.map(|(name, known)| Candidate {
             id: name.clone(),
-            places: gangs::places(&free_soon(known), &size, step.max_per_host),
-            ready: self.ready_for(now, known, &size, step),
+            places: gangs::places(&capacity_without_lasting(known), &size, step.max_per_host),
+            ready: self.time_until_ready(now, known, &size, step),
         });
         candidates.collect()
     }
 
     /// How long it takes until an executor has its places for members free.
-    fn ready_for(&self, now: Now, known: &Executor, size: &Size, step: &Step) -> Duration {
-        let places = |room: &Size| gangs::places(room, size, step.max_per_host);
-        if places(&known.free()) == places(&free_soon(known)) {
+    fn time_until_ready(&self, now: Now, known: &Executor, size: &Size, step: &Step) -> Duration {
+        let places = |available: &Size| gangs::places(available, size, step.max_per_host);
+        if places(&known.free()) == places(&capacity_without_lasting(known)) {
             return Duration::ZERO;
         }
         let short = known.runs.iter().filter(|(_, held)| !held.lasting);
-        short.map(|(task, held)| self.left_of(now, task, held)).max().unwrap_or_default()
+        short.map(|(task, held)| self.remaining_time(now, task, held)).max().unwrap_or_default()
     }
 
     /// How long a run will go on: by its progress, or by what such runs take.
-    fn left_of(&self, now: Now, task: &TaskKey, held: &Held) -> Duration {
+    fn remaining_time(&self, now: Now, task: &TaskKey, held: &Held) -> Duration {
         let elapsed = now.time.since(held.started);
         if held.percent > 0 {
-            let whole = elapsed.mul_f64(100.0 / f64::from(held.percent));
-            return whole.saturating_sub(elapsed);
+            let total = elapsed.mul_f64(100.0 / f64::from(held.percent));
+            return total.saturating_sub(elapsed);
         }
         let job = self.ledger.jobs.get(&task.job);
         let expected = job.and_then(|job| {
@@ -236,14 +248,14 @@
 
     /// The members of the gang for which a pool is to get hosts.
     pub(super) fn gang_seekers(&self, pool: &PoolName) -> Vec<Seeker<StepKey>> {
-        let Some(fetched) = self.kept_room.fetched.as_ref().filter(|f| f.pool == *pool) else {
+        let Some(fetch) = self.gang_reservations.fetch.as_ref().filter(|f| f.pool == *pool) else {
             return Vec::new();
         };
-        let job = self.ledger.jobs.get(&fetched.step.job);
-        let Some(step) = job.and_then(|job| job.step(fetched.step.step)) else { return Vec::new() };
+        let job = self.ledger.jobs.get(&fetch.step.job);
+        let Some(step) = job.and_then(|job| job.step(fetch.step.step)) else { return Vec::new() };
         let member = Seeker {
-            step: fetched.step.clone(),
-            size: reserved(step),
+            step: fetch.step.clone(),
+            size: reserved_size(step),
             label: step.label.clone(),
             max_per_host: step.max_per_host,
         };
@@ -251,11 +263,11 @@
     }
 
     /// Whether an executor without work is to stay where it is, as a gang waits for it.
-    pub(super) fn waits_for_gang(&self, pool: &PoolName, executor: &ExecutorName) -> bool {
-        let kept = self.kept_room.kept.get(pool);
-        let fetched = self.kept_room.fetched.as_ref().filter(|f| f.pool == *pool);
-        kept.is_some_and(|kept| kept.executors.contains(executor))
-            || fetched.is_some_and(|fetched| self.is_labelled_for(&fetched.step, executor))
+    pub(super) fn is_needed_by_gang(&self, pool: &PoolName, executor: &ExecutorName) -> bool {
+        let reservation = self.gang_reservations.by_pool.get(pool);
+        let fetch = self.gang_reservations.fetch.as_ref().filter(|f| f.pool == *pool);
+        reservation.is_some_and(|reservation| reservation.executors.contains(executor))
+            || fetch.is_some_and(|fetch| self.is_labelled_for(&fetch.step, executor))
     }
 
     fn is_labelled_for(&self, key: &StepKey, executor: &ExecutorName) -> bool {
@@ -267,17 +279,19 @@
     /// Drops what was noted of gangs whose jobs have ended.
     pub(super) fn forget_gangs(&mut self) {
         let jobs = &self.ledger.jobs;
-        self.kept_room.missed.retain(|step, _| jobs.contains_key(&step.job));
-        self.kept_room.kept.retain(|_, kept| jobs.contains_key(&kept.step.job));
-        let ended = |fetched: &Fetched| !jobs.contains_key(&fetched.step.job);
-        if self.kept_room.fetched.as_ref().is_some_and(ended) {
-            self.kept_room.fetched = None;
+        self.gang_reservations.unplaced_since.retain(|step, _| jobs.contains_key(&step.job));
+        self.gang_reservations
+            .by_pool
+            .retain(|_, reservation| jobs.contains_key(&reservation.step.job));
+        let ended = |fetch: &GangFetch| !jobs.contains_key(&fetch.step.job);
+        if self.gang_reservations.fetch.as_ref().is_some_and(ended) {
+            self.gang_reservations.fetch = None;
         }
     }
 }
 
 /// What an executor has left once all that ends by itself has ended.
-fn free_soon(known: &Executor) -> Size {
+fn capacity_without_lasting(known: &Executor) -> Size {
     let mut free = known.registration.capacity;
     for held in known.runs.values().filter(|held| held.lasting) {
         free = free.less(&held.size);
--- a/crates/borageswitch_scheduler/src/reducer/gangs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gangs.rs
@@ -9,7 +9,9 @@
     event::Now,
     job::{Size, Step},
     policy::blame::Standing,
-    reducer::{Scheduler, places::reserved, rooms::Room, waiting::WaitingStep},
+    reducer::{
+        Scheduler, free_capacity::FreeCapacity, places::reserved_size, waiting::WaitingStep,
+    },
     task::TaskKey,
 };
 
@@ -21,21 +23,23 @@
         pool: &PoolName,
         waiting: &WaitingStep,
         step: &Step,
-        room: &mut Room,
+        available: &mut FreeCapacity,
     ) -> bool {
         // A member was not started, or has ended: the others can only wait in vain.
-        if self.stop_incomplete(now, waiting) {
+        if self.stop_partial_gang(now, waiting) {
             return true;
         }
-        let apart = self.apart_from_suspects(waiting, room);
-        let usable = apart.as_ref().unwrap_or(room);
+        let without_suspects = self.capacity_without_suspects(waiting, available);
+        let usable = without_suspects.as_ref().unwrap_or(available);
         let Some((places, mut left)) = self.places_for_gang(now, waiting, step, usable) else {
-            self.gang_missed(now, pool, &waiting.key);
+            self.gang_unplaced(now, pool, &waiting.key);
             return false;
         };
         self.gang_placed(pool, &waiting.key);
-        left.extend(room.iter().filter(|(name, _)| !usable.contains_key(*name)).map(clone_entry));
-        *room = left;
+        left.extend(
+            available.iter().filter(|(name, _)| !usable.contains_key(*name)).map(clone_entry),
+        );
+        *available = left;
         let run = self.next_gang_run(waiting);
         for (index, executor) in places {
             self.assign(now, &executor, &waiting.key.task(index), Some(run));
@@ -44,23 +48,32 @@
     }
 
     /// The room without other suspects, if a member of a gang has to run apart from them.
-    fn apart_from_suspects(&self, waiting: &WaitingStep, room: &Room) -> Option<Room> {
+    fn capacity_without_suspects(
+        &self,
+        waiting: &WaitingStep,
+        available: &FreeCapacity,
+    ) -> Option<FreeCapacity> {
         let mut members = waiting.waiting.iter().map(|&index| waiting.key.task(index));
         let isolated = members.any(|member| self.standing(&member) == Standing::Isolated);
         let without = |(name, _): &(&ExecutorName, &Size)| self.suspects.count_on(name) == 0;
-        isolated.then(|| room.iter().filter(without).map(clone_entry).collect())
+        isolated.then(|| available.iter().filter(without).map(clone_entry).collect())
     }
 
     /// There is no room for a member of a gang for certain. Members that run without the others are
     /// stopped all the same: they work only together.
-    pub(super) fn gang_without_room(&mut self, now: Now, pool: &PoolName, waiting: &WaitingStep) {
-        if !self.stop_incomplete(now, waiting) {
-            self.gang_missed(now, pool, &waiting.key);
+    pub(super) fn gang_without_capacity(
+        &mut self,
+        now: Now,
+        pool: &PoolName,
+        waiting: &WaitingStep,
+    ) {
+        if !self.stop_partial_gang(now, waiting) {
+            self.gang_unplaced(now, pool, &waiting.key);
         }
     }
 
     /// Stops the members of a gang that run without the others. Gives whether there are such.
-    pub(super) fn stop_incomplete(&mut self, now: Now, waiting: &WaitingStep) -> bool {
+    pub(super) fn stop_partial_gang(&mut self, now: Now, waiting: &WaitingStep) -> bool {
         let job = self.ledger.jobs.get(&waiting.key.job);
         let step = job.and_then(|job| job.step(waiting.key.step));
         let Some(count) = step.map(|step| step.count) else { return true };
@@ -79,9 +92,9 @@
         now: Now,
         waiting: &WaitingStep,
         step: &Step,
-        room: &Room,
-    ) -> Option<(Vec<(u32, ExecutorName)>, Room)> {
-        let mut racks: Vec<_> = room
+        available: &FreeCapacity,
+    ) -> Option<(Vec<(u32, ExecutorName)>, FreeCapacity)> {
+        let mut racks: Vec<_> = available
             .keys()
             .filter_map(|executor| self.executors.get(executor)?.registration.rack().cloned())
             .collect();
@@ -90,49 +103,49 @@
         let data_rack = step.data_rack.as_ref().map(RackName::as_str);
         racks.sort_by_key(|rack| data_rack != Some(&**rack));
         let in_rack = |rack: &std::sync::Arc<str>| {
-            let inside = room.iter().filter(|(executor, _)| {
+            let inside = available.iter().filter(|(executor, _)| {
                 let known = self.executors.get(executor);
                 known.is_some_and(|known| known.registration.has_label(rack))
             });
-            inside.map(clone_entry).collect::<Room>()
+            inside.map(clone_entry).collect::<FreeCapacity>()
         };
         let together = racks.iter().find_map(|rack| {
-            let (places, left) = self.fill(now, waiting, step, in_rack(rack))?;
-            let mut all = room.clone();
+            let (places, left) = self.place_members(now, waiting, step, in_rack(rack))?;
+            let mut all = available.clone();
             all.extend(left);
             Some((places, all))
         });
-        together.or_else(|| self.fill(now, waiting, step, room.clone()))
+        together.or_else(|| self.place_members(now, waiting, step, available.clone()))
     }
 
-    fn fill(
+    fn place_members(
         &self,
         now: Now,
         waiting: &WaitingStep,
         step: &Step,
-        mut room: Room,
-    ) -> Option<(Vec<(u32, ExecutorName)>, Room)> {
-        let size = reserved(step);
+        mut available: FreeCapacity,
+    ) -> Option<(Vec<(u32, ExecutorName)>, FreeCapacity)> {
+        let size = reserved_size(step);
         let mut places: Vec<(u32, ExecutorName)> = Vec::new();
         for &index in &waiting.waiting {
-            let executor = self.place_of_member(now, waiting, step, &room, &places)?;
-            let left = room.get_mut(&executor)?;
+            let executor = self.choose_executor(now, waiting, step, &available, &places)?;
+            let left = available.get_mut(&executor)?;
             *left = left.less(&size);
             places.push((index, executor));
         }
-        Some((places, room))
+        Some((places, available))
     }
 
-    fn place_of_member(
+    fn choose_executor(
         &self,
         now: Now,
         waiting: &WaitingStep,
         step: &Step,
-        room: &Room,
+        available: &FreeCapacity,
         places: &[(u32, ExecutorName)],
     ) -> Option<ExecutorName> {
-        let size = reserved(step);
-        let fitting = room.iter().filter(|(executor, free)| {
+        let size = reserved_size(step);
+        let fitting = available.iter().filter(|(executor, free)| {
             let planned = places.iter().filter(|(_, other)| other == *executor).count();
             free.holds(&size) && self.may_run_on(now, &waiting.key, step, executor, planned)
         });
--- a/crates/borageswitch_scheduler/src/reducer/host_list.rs
+++ b/crates/borageswitch_scheduler/src/reducer/host_list.rs
@@ -26,7 +26,7 @@
 /// How often the hosts are listed while something is going on with them.
 const LIST_INTERVAL: Duration = Duration::from_millis(700);
 /// How often they are listed otherwise.
-const QUIET_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
+const IDLE_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 /// A list that has not come after this time is asked for again.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// An executor that the platform's list does not name has ended, if it was known for so long
@@ -57,8 +57,8 @@
     /// The hosts that are taken out of service.
     pub withdrawals: BTreeMap<HostName, Withdrawal>,
     listing: Listing,
-    listing_before: Listing,
-    asked: Option<Time>,
+    previous_listing: Listing,
+    requested_at: Option<Time>,
     /// Kinds of which there are few.
     scarce: BTreeSet<Arc<str>>,
 }
@@ -70,29 +70,29 @@
     }
 
     /// When the platform listed an executor last.
-    pub(super) fn seen_up(&self, executor: &ExecutorName) -> Option<Time> {
+    pub(super) fn last_listed(&self, executor: &ExecutorName) -> Option<Time> {
         self.listing_with(executor)?.at
     }
 
     fn listing_with(&self, executor: &ExecutorName) -> Option<&Listing> {
         let has = |listing: &&Listing| listing.host_of(executor).is_some();
-        [&self.listing, &self.listing_before].into_iter().find(has)
+        [&self.listing, &self.previous_listing].into_iter().find(has)
     }
 
     /// Takes in a list that was asked for at that time.
-    fn take_list(&mut self, asked: Time, hosts: Vec<HostEntry>) {
+    fn apply_list(&mut self, asked: Time, hosts: Vec<HostEntry>) {
         self.listed = Some(asked);
         self.hosts = hosts.into_iter().map(|entry| (entry.host.clone(), entry)).collect();
         let up = self.hosts.values().filter(|entry| entry.state == HostState::Up);
         let host_of =
             up.filter_map(|entry| Some((entry.executor.clone()?, entry.host.clone()))).collect();
         let fresh = Listing { at: Some(asked), host_of };
-        self.listing_before = std::mem::replace(&mut self.listing, fresh);
-        self.find_scarce();
+        self.previous_listing = std::mem::replace(&mut self.listing, fresh);
+        self.update_scarce();
     }
 
     /// An executor has begun a life; the platform lists hosts with registered names.
-    pub(super) fn note_life(&mut self, executor: &ExecutorName) {
+    pub(super) fn note_incarnation(&mut self, executor: &ExecutorName) {
         let Some(host) = self.listing.host_of(executor) else { return };
         let Some(entry) = self.hosts.get_mut(host) else { return };
         let listed = entry.executor.as_ref().map(life::registered);
@@ -102,9 +102,9 @@
     }
 
     /// What has become of the host of an executor that is listed no more, or has started again.
-    pub(super) fn fate_of(&self, executor: &ExecutorName) -> HostFate {
+    pub(super) fn host_outcome(&self, executor: &ExecutorName) -> HostFate {
         let Some(host) = self.host_of(executor).cloned() else { return HostFate::Unknown };
-        if self.withdrawals.get(&host).is_some_and(Withdrawal::is_under_way) {
+        if self.withdrawals.get(&host).is_some_and(Withdrawal::is_ordered) {
             return HostFate::Ordered(host);
         }
         match self.hosts.get(&host).map(|entry| entry.state) {
@@ -120,7 +120,7 @@
     }
 
     /// A kind is scarce with less than half of its even share of the hosts.
-    fn find_scarce(&mut self) {
+    fn update_scarce(&mut self) {
         let mut kinds: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
         for kind in self.hosts.values().filter_map(|entry| entry.labels.first()) {
             *kinds.entry(kind).or_default() += 1;
@@ -134,22 +134,22 @@
 impl Scheduler {
     pub(super) fn list_hosts(&mut self, now: Now) {
         let busy = self.waves.is_open() || !self.fleet.withdrawals.is_empty();
-        let interval = if busy { LIST_INTERVAL } else { QUIET_LIST_INTERVAL };
+        let interval = if busy { LIST_INTERVAL } else { IDLE_LIST_INTERVAL };
         let fresh = self.fleet.listed.is_some_and(|at| now.time.since(at) < interval);
-        let asked = self.fleet.asked.is_some_and(|at| now.time.since(at) < LIST_TIMEOUT);
+        let asked = self.fleet.requested_at.is_some_and(|at| now.time.since(at) < LIST_TIMEOUT);
         if !fresh && !asked {
-            self.fleet.asked = Some(now.time);
+            self.fleet.requested_at = Some(now.time);
             self.effects.push(Effect::ListHosts);
         }
     }
 
     pub(super) fn listed(&mut self, now: Now, hosts: Option<Vec<HostEntry>>) {
-        let Some(asked) = self.fleet.asked.take() else { return };
+        let Some(asked) = self.fleet.requested_at.take() else { return };
         let Some(hosts) = hosts else {
-            self.fleet.asked = Some(now.time);
+            self.fleet.requested_at = Some(now.time);
             return;
         };
-        self.fleet.take_list(asked, hosts);
+        self.fleet.apply_list(asked, hosts);
         for entry in self.fleet.hosts.values_mut() {
             let life = entry.executor.as_ref().and_then(|name| self.executors.latest_life(name));
             if let Some(life) = life {
@@ -157,7 +157,7 @@
             }
         }
         self.end_unlisted(now, asked);
-        self.take_back(asked);
+        self.return_to_service(asked);
     }
 
     /// Executors that no host has any more have ended: what they ran need not wait for their lease.
@@ -172,7 +172,7 @@
             .map(|(executor, _)| executor.clone())
             .collect();
         for executor in over {
-            let fate = self.fleet.fate_of(&executor);
+            let fate = self.fleet.host_outcome(&executor);
             self.life_over(now, &executor, Ending::Unlisted { asked, fate });
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -20,12 +20,12 @@
 
 /// How long after an order without an answer, or one that was refused for the moment, it is given
 /// again; the pause doubles with each order after the second.
-const REPEAT_ORDER: Duration = Duration::from_millis(500);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// The longest pause between two orders for a host: a platform that is back is used soon after.
-const LONGEST_REPEAT: Duration = Duration::from_millis(4_000);
+const MAX_ORDER_RETRY_DELAY: Duration = Duration::from_millis(4_000);
 /// A host that has not come back from a move after this time, many times what a move takes, is not
 /// counted on any more.
-const MOVE_OVERDUE: Duration = Duration::from_secs(30);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a host is emptied for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -66,39 +66,39 @@
     /// How far it is.
     pub stage: Stage,
     /// The executor that was emptied for the order.
-    pub emptied: Option<ExecutorName>,
+    pub drained: Option<ExecutorName>,
     /// How many orders in a row have come to nothing.
     pub failed: u32,
 }
 
 impl Withdrawal {
     /// The pause before the next order.
-    fn pause(&self) -> Duration {
-        (REPEAT_ORDER * (1 << self.failed.saturating_sub(2).min(3))).min(LONGEST_REPEAT)
+    fn retry_delay(&self) -> Duration {
+        (ORDER_RETRY_DELAY * (1 << self.failed.saturating_sub(2).min(3))).min(MAX_ORDER_RETRY_DELAY)
     }
 
     /// Whether an order for the host has left, answered or not.
-    pub(super) fn is_under_way(&self) -> bool {
+    pub(super) fn is_ordered(&self) -> bool {
         !matches!(self.stage, Stage::Emptying { .. })
     }
 }
 
 impl Scheduler {
-    pub(super) fn step_fleet(&mut self, now: Now) {
+    pub(super) fn advance_fleet(&mut self, now: Now) {
         self.list_hosts(now);
-        self.note_away(now);
-        self.step_waves(now);
+        self.update_unavailable(now);
+        self.advance_waves(now);
         self.step_lending(now);
         let hosts: Vec<HostName> = self.fleet.withdrawals.keys().cloned().collect();
         for host in hosts {
-            self.step_host(now, &host);
+            self.advance_host(now, &host);
         }
     }
 
     /// Hosts that were away and are listed as up again are in service.
-    pub(super) fn take_back(&mut self, listed: Time) {
+    pub(super) fn return_to_service(&mut self, listed: Time) {
         let hosts = &self.fleet.hosts;
-        let back = |host: &HostName, withdrawal: &Withdrawal| {
+        let returned = |host: &HostName, withdrawal: &Withdrawal| {
             let entry = hosts.get(host);
             let up = entry.is_none_or(|entry| entry.state == HostState::Up);
             match withdrawal.stage {
@@ -112,14 +112,14 @@
                 }
             }
         };
-        let back: Vec<HostName> = self
+        let returned: Vec<HostName> = self
             .fleet
             .withdrawals
             .iter()
-            .filter(|(h, d)| back(h, d))
+            .filter(|(h, d)| returned(h, d))
             .map(|(h, _)| h.clone())
             .collect();
-        for host in back {
+        for host in returned {
             self.fleet.withdrawals.remove(&host);
             self.log("host-back", &host, String::new);
         }
@@ -133,12 +133,12 @@
             format!("for={purpose:?} executor={executor}")
         });
         let stage = Stage::Emptying { not_before: now.time };
-        let withdrawal = Withdrawal { purpose, stage, emptied: None, failed: 0 };
+        let withdrawal = Withdrawal { purpose, stage, drained: None, failed: 0 };
         self.fleet.withdrawals.insert(host.clone(), withdrawal);
-        self.step_host(now, host);
+        self.advance_host(now, host);
     }
 
-    fn step_host(&mut self, now: Now, host: &HostName) {
+    fn advance_host(&mut self, now: Now, host: &HostName) {
         let Some(withdrawal) = self.fleet.withdrawals.get(host) else { return };
         let Some(entry) = self.fleet.hosts.get(host).cloned() else {
             self.fleet.withdrawals.remove(host);
@@ -147,13 +147,13 @@
         match withdrawal.stage {
             Stage::Away { since } => {
                 let moves = matches!(withdrawal.purpose, Purpose::Move(_));
-                if moves && now.time.since(since) >= MOVE_OVERDUE {
+                if moves && now.time.since(since) >= MOVE_TIMEOUT {
                     self.fleet.withdrawals.remove(host);
                     self.log("host-overdue", host, || format!("state={}", entry.state));
                 }
             }
             Stage::Ordered { at, answered } => {
-                if answered && now.time.since(at) >= withdrawal.pause() {
+                if answered && now.time.since(at) >= withdrawal.retry_delay() {
                     self.repeat_order(now, host);
                 }
             }
@@ -164,11 +164,11 @@
                 // A host that is off has nothing to be emptied of.
                 let executor = entry.executor.clone();
                 if let Some(executor) = &executor {
-                    self.empty(now, executor);
+                    self.drain_executor(now, executor);
                 }
-                let empty = executor.is_none_or(|executor| self.is_empty(&executor));
-                if empty && now.time >= not_before {
-                    self.give_order(now, host);
+                let ready = executor.is_none_or(|executor| self.is_drained(&executor));
+                if ready && now.time >= not_before {
+                    self.record_host_order(now, host);
                 }
             }
         }
@@ -180,23 +180,23 @@
     fn repeat_order(&mut self, now: Now, host: &HostName) {
         let current = self.fleet.hosts.get(host).and_then(|entry| entry.executor.as_ref());
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
-        if current.is_some() && current != withdrawal.emptied.as_ref() {
+        if current.is_some() && current != withdrawal.drained.as_ref() {
             withdrawal.stage = Stage::Emptying { not_before: now.time };
         } else {
-            self.give_order(now, host);
+            self.record_host_order(now, host);
         }
     }
 
     /// Has an order stored as given; it leaves after that, so that whoever leads next knows of it.
-    fn give_order(&mut self, now: Now, host: &HostName) {
-        if self.is_paused(now.time, host) || !self.may_call_hosts(now.time) {
+    fn record_host_order(&mut self, now: Now, host: &HostName) {
+        if self.is_order_paused(now.time, host) || !self.may_call_hosts(now.time) {
             return;
         }
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
         withdrawal.stage = Stage::Ordered { at: now.time, answered: false };
-        withdrawal.emptied = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
+        withdrawal.drained = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         self.record(Record::HostOrdered { host: host.clone() });
-        self.outbox.then_order_host(host.clone());
+        self.outbox.defer_host_order(host.clone());
     }
 
     pub(super) fn send_host_order(&mut self, now: Now, host: &HostName) {
@@ -211,22 +211,22 @@
 
     /// Whether an earlier leader has ordered a host about so lately that its orders may still be on
     /// their way. Where the platform does not check tokens, an order of ours would cross them.
-    pub(super) fn is_paused(&self, now: Time, host: &HostName) -> bool {
-        self.inherited_orders
+    pub(super) fn is_order_paused(&self, now: Time, host: &HostName) -> bool {
+        self.inherited_host_orders
             .get(host)
-            .is_some_and(|age| *age + now.since(self.began) < self.limits.host_order_pause)
+            .is_some_and(|age| *age + now.since(self.took_over_at) < self.limits.host_order_pause)
     }
 
     /// How long this leader has led, in milliseconds.
     pub(super) fn led_millis(&self, now: Time) -> u64 {
-        now.since(self.began).as_millis() as u64
+        now.since(self.took_over_at).as_millis() as u64
     }
 
     pub(super) fn host_answered(&mut self, now: Now, host: &HostName, answer: HostAnswer) {
         let millis = self.led_millis(now.time);
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
         let purpose = withdrawal.purpose.clone();
-        let emptied = withdrawal.emptied.clone();
+        let drained = withdrawal.drained.clone();
         if answer != HostAnswer::Lost {
             self.record(Record::HostOrderSettled { host: host.clone(), millis });
         }
@@ -239,7 +239,7 @@
                 }
                 // Not whichever executor the host has now: after an answer that was lost, that is
                 // the one that came with the order. Taken for ended, its tasks would run twice.
-                if let Some(executor) = emptied {
+                if let Some(executor) = drained {
                     self.life_over(now, &executor, Ending::HostTaken);
                 }
             }
@@ -249,22 +249,22 @@
             }
             HostAnswer::Busy => {
                 withdrawal.failed += 1;
-                let not_before = now.time + withdrawal.pause();
+                let not_before = now.time + withdrawal.retry_delay();
                 withdrawal.stage = Stage::Emptying { not_before };
             }
             HostAnswer::Impossible => {
                 if let (Purpose::Move(pool), Some(entry)) = (&purpose, self.fleet.hosts.get(host)) {
                     self.lending.note_unfit(entry, pool);
                 }
-                self.give_back(host);
+                self.cancel_withdrawal(host);
             }
-            HostAnswer::NotOfWave | HostAnswer::Fenced => self.give_back(host),
+            HostAnswer::NotOfWave | HostAnswer::Fenced => self.cancel_withdrawal(host),
         }
         self.log("host-order", host, || format!("purpose={purpose:?} answer={answer}"));
     }
 
     /// A host that was chosen stays in service after all.
-    fn give_back(&mut self, host: &HostName) {
+    fn cancel_withdrawal(&mut self, host: &HostName) {
         self.fleet.withdrawals.remove(host);
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         let known = executor.and_then(|executor| self.executors.get_mut(&executor));
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -79,10 +79,10 @@
         }
         self.note_times(now, &submission);
         self.note_share(now, &submission);
-        self.waiting.note(&job);
+        self.waiting.mark_stale(&job);
         if let Some(pool) = self.pool_of(&job).cloned() {
             self.note_arrival(now, &pool, &submission);
-            self.stirred.insert(pool);
+            self.dirty_pools.insert(pool);
         }
         self.log("job-known", &job, || {
             let age = now.wall.0.saturating_sub(submission.accepted.0);
@@ -148,7 +148,7 @@
             self.note_times(now, &submission);
         }
         for job in self.ledger.jobs.keys() {
-            self.waiting.note(job);
+            self.waiting.mark_stale(job);
         }
     }
 
@@ -160,7 +160,7 @@
 
     /// Ends jobs all of whose tasks are done, or one of whose tasks has failed too often.
     pub(super) fn finish_jobs(&mut self, now: Now) {
-        for name in std::mem::take(&mut self.touched) {
+        for name in std::mem::take(&mut self.maybe_ended) {
             let Some(job) = self.ledger.jobs.get(&name) else { continue };
             let attempts = self.times.get(&name).map_or(u16::MAX, |times| times.max_attempts);
             let outcome = if job.is_done() {
@@ -183,15 +183,15 @@
                 took.unwrap_or_default().as_millis()
             )
         });
-        self.stir_pool_of(job);
-        self.ending.insert(job.clone(), self.outbox.next_append());
+        self.mark_pool_dirty(job);
+        self.ending_jobs.insert(job.clone(), self.outbox.next_append());
         for record in self.leftovers_of(job) {
             self.record(record);
         }
         self.record(Record::Finished { job: job.clone(), queue, outcome, at: now.wall });
-        self.outbox.then_show_end(job.clone());
+        self.outbox.defer_show_end(job.clone());
         self.times.remove(job);
-        self.stop_all_of(now, job);
+        self.stop_runs_of(now, job);
     }
 
     /// The runs of a job that go on counting for its caller's quota when it ends.
@@ -223,7 +223,7 @@
         for (job, occurrence) in due {
             self.log("occurrence-due", &job, || format!("occurrence={occurrence}"));
             self.record(Record::Due { job: job.clone(), occurrence });
-            self.stir_pool_of(&job);
+            self.mark_pool_dirty(&job);
         }
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/lapses.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lapses.rs
@@ -34,7 +34,7 @@
     }
 
     fn release_sent(&mut self, now: Now, executor: &ExecutorName) {
-        let seen_up = self.fleet.seen_up(executor);
+        let seen_up = self.fleet.last_listed(executor);
         let Some(known) = self.executors.get_mut(executor) else { return };
         let tasks: Vec<TaskKey> = known
             .runs
@@ -78,7 +78,7 @@
 
     /// Notes once how an executor's life has ended, and what it ran.
     fn note_end(&mut self, now: Now, executor: &ExecutorName, ending: Ending) {
-        let seen_up = self.fleet.seen_up(executor);
+        let seen_up = self.fleet.last_listed(executor);
         let known = self.executors.get_mut(executor).filter(|known| !known.ended);
         let Some(known) = known else { return };
         known.present = false;
@@ -91,7 +91,7 @@
     /// An executor has started again under its name. Runs whose start may have met the later life
     /// are looked for there, all others of the earlier one are over.
     pub(super) fn carry_over(&mut self, now: Now, before: &ExecutorName, next: &ExecutorName) {
-        let fate = self.fleet.fate_of(before);
+        let fate = self.fleet.host_outcome(before);
         self.note_end(now, before, Ending::Restarted(fate.clone()));
         let Some(known) = self.executors.get(before) else { return };
         let inherited_until = known.inherited_until;
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -22,7 +22,8 @@
         peaks::{self, Peak},
     },
     reducer::{
-        Scheduler, executors::Executor, hosts::Purpose, places::reserved, waiting::unblocked_steps,
+        Scheduler, executors::Executor, hosts::Purpose, places::reserved_size,
+        waiting::unblocked_steps,
     },
 };
 
@@ -52,7 +53,7 @@
 
 impl PoolNeeds {
     fn add(&mut self, step: &Step, waiting: u64) {
-        let size = reserved(step);
+        let size = reserved_size(step);
         let waits = size.times(waiting);
         let apart = step.max_per_host.map_or(0, |most| step.count.div_ceil(most) as usize);
         let need = match &step.label {
@@ -135,7 +136,7 @@
         let largest = self.lending.largest_peak();
         let begun = self.lending.first_work;
         let unseen = begun.is_none_or(|first| now.time.since(first) < horizon);
-        let led = now.time.since(self.began);
+        let led = now.time.since(self.took_over_at);
         for load in loads {
             let peak = self.lending.peaks.get(&load.pool).map_or(0, Peak::hosts);
             let rate = self.lending.arrivals.get(&load.pool);
@@ -152,7 +153,7 @@
 
     /// Moves hosts to where the work is.
     pub(super) fn step_lending(&mut self, now: Now) {
-        if self.fleet.listed.is_none_or(|listed| listed < self.began) {
+        if self.fleet.listed.is_none_or(|listed| listed < self.took_over_at) {
             return;
         }
         let mut loads = self.pool_loads(now);
@@ -207,8 +208,8 @@
                     busy: Vec::new(),
                     need: needs.whole,
                     labelled: labelled.collect(),
-                    lasting: self.hosts_for_lasting(&pool.name, &members, &host),
-                    gang: self.hosts_for_gang(&pool.name, &members, &host),
+                    lasting: self.extra_hosts_for_lasting(&pool.name, &members, &host),
+                    gang: self.extra_hosts_for_gang(&pool.name, &members, &host),
                     label_hosts: count_labels(&members),
                     data_racks: needs.data_racks,
                     arriving_cores: rate.map_or(0.0, |rate| rate.cores(now.time)),
@@ -227,7 +228,7 @@
             needs.entry(known.registration.pool.clone()).or_default().whole.demand += known.taken();
         }
         // Hosts that are fetched for tasks whose callers are at their quota would stand idle.
-        let mut dealing = self.dealing();
+        let mut dealing = self.quota_allocation();
         for (name, job) in &self.ledger.jobs {
             let Some(times) = self.times.get(name) else { continue };
             let pool = needs.entry(times.pool.clone()).or_default();
@@ -268,7 +269,7 @@
         let free = in_pool.iter().filter(|entry| {
             entry.state == HostState::Up
                 && !self.fleet.withdrawals.contains_key(&entry.host)
-                && !self.is_paused(now, &entry.host)
+                && !self.is_order_paused(now, &entry.host)
         });
         let idle = free.filter_map(|entry| {
             let idle = if standby {
@@ -278,7 +279,7 @@
                 if !known.present || !known.fenced || !known.runs.is_empty() {
                     return None;
                 }
-                if self.waits_for_gang(&entry.pool, entry.executor.as_ref()?) {
+                if self.is_needed_by_gang(&entry.pool, entry.executor.as_ref()?) {
                     return None;
                 }
                 now.since(known.idle_since)
@@ -298,7 +299,7 @@
             });
             only_short
                 && !self.fleet.withdrawals.contains_key(&entry.host)
-                && !self.is_paused(now, &entry.host)
+                && !self.is_order_paused(now, &entry.host)
         });
         busy.map(|entry| self.lendable(entry, Duration::ZERO)).collect()
     }
--- a/crates/borageswitch_scheduler/src/reducer/looks.rs
+++ b/crates/borageswitch_scheduler/src/reducer/looks.rs
@@ -56,7 +56,7 @@
     }
 
     fn due_looks(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, LookOrder)> {
-        let mut unlooked = std::mem::take(&mut self.unlooked);
+        let mut unlooked = std::mem::take(&mut self.poll_candidates);
         let due = |known: &Executor| due_look(known, now.time, &self.limits);
         if sweep {
             let all = self.executors.iter();
@@ -126,7 +126,7 @@
                 let lease = self.limits.inherited_lease.as_millis() as u64;
                 known.lease_ms = known.lease_ms.max(report.clock_ms + lease);
             }
-            self.stirred.insert(known.registration.pool.clone());
+            self.dirty_pools.insert(known.registration.pool.clone());
         }
         // Answers may overtake each other: an older one says nothing about what runs now.
         let newest = known.looking.answered.is_none_or(|answered| sent >= answered);
@@ -139,7 +139,7 @@
         self.take_ends(now, executor, report);
         if newest {
             self.compare(now, executor, sent, report);
-            self.pace_neighbours(executor);
+            self.adjust_speed_limits(executor);
         }
     }
 
@@ -263,8 +263,8 @@
 
 fn wait_of(known: &Executor, limits: &Limits) -> Duration {
     if known.runs.values().any(|held| held.target_tail.is_some()) {
-        SERVING_WAIT.min(limits.look_wait)
+        SERVING_WAIT.min(limits.poll_wait)
     } else {
-        limits.look_wait
+        limits.poll_wait
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -11,19 +11,19 @@
 //! - [`looks`]: executors are looked at, and what they say is compared with what is believed.
 //! - [`ends`]: runs end, or are known never to have begun.
 //! - [`starts`]: answers to starts and stops; [`failed_starts`] are not repeated at once for ever, and
-//!   [`starting`] bounds those on their way.
+//!   [`pending_starts`] bounds those on their way.
 //! - [`crashes`]: executors that ended, and which of them crashed.
 //! - [`suspects`]: tasks under which executors have crashed.
 //! - [`stragglers`]: runs that fall far behind are given up.
 //! - [`lapses`]: runs on executors that cannot be reached.
-//! - [`waiting`]: which steps wait, most urgent first; [`rooms`]: what executors have left.
+//! - [`waiting`]: which steps wait, most urgent first; [`free_capacity`]: what executors have left.
 //! - [`pass`]: waiting tasks find hosts, among the [`places`] that suit them; [`gangs`] find them together; [`advice`] asks where a
-//!   step may run; [`kept_room`] keeps room for gangs; [`evict`] makes room for lasting tasks.
+//!   step may run; [`gang_reservations`] keeps room for gangs; [`preemption`] makes room for lasting tasks.
 //! - [`quotas`]: callers are held to what their tasks may use at once.
-//! - [`pace`]: work that fills gaps is slowed beside work that serves.
+//! - [`speed_limits`]: work that fills gaps is slowed beside work that serves.
 //! - [`registrations`]: executors come, drain and go.
 //! - [`host_list`]: the platform's list of hosts.
-//! - [`hosts`]: orders for hosts, which are emptied before ([`emptying`]); [`waves`] maintain them,
+//! - [`hosts`]: orders for hosts, which are emptied before ([`draining`]); [`waves`] maintain them,
 //!   [`lending`] moves them, also for what [`lasting`] tasks need.
 //! - [`recovery`]: a new leader takes over.
 //! - [`view`]: what callers ask; [`explain`] tells operators why.
@@ -31,31 +31,31 @@
 pub mod advice;
 pub mod clock;
 pub mod crashes;
-pub mod emptying;
+pub mod draining;
 pub mod ends;
-pub mod evict;
 pub mod executor_table;
 pub mod executors;
 pub mod explain;
 pub mod failed_starts;
+pub mod free_capacity;
+pub mod gang_reservations;
 pub mod gangs;
 pub mod host_list;
 pub mod hosts;
 pub mod jobs;
-pub mod kept_room;
 pub mod lapses;
 pub mod lasting;
 pub mod lending;
 pub mod looks;
 pub mod outbox;
-pub mod pace;
 pub mod pass;
+pub mod pending_starts;
 pub mod places;
+pub mod preemption;
 pub mod quotas;
 pub mod recovery;
 pub mod registrations;
-pub mod rooms;
-pub mod starting;
+pub mod speed_limits;
 pub mod starts;
 pub mod stragglers;
 pub mod suspects;
@@ -82,9 +82,10 @@
     policy::{learned::Learned, shares::JobRate},
     reducer::{
         advice::Advice, crashes::EndedExecutor, executor_table::ExecutorTable,
-        failed_starts::FailedStarts, host_list::Fleet, jobs::JobTimes, kept_room::KeptRoom,
-        lending::Lending, outbox::Outbox, rooms::Rooms, starting::Starting, stragglers::Stragglers,
-        suspects::Suspects, waiting::Waiting, waves::Waves,
+        failed_starts::FailedStarts, free_capacity::FreeCapacityByPool,
+        gang_reservations::GangReservations, host_list::Fleet, jobs::JobTimes, lending::Lending,
+        outbox::Outbox, pending_starts::PendingStarts, stragglers::Stragglers, suspects::Suspects,
+        waiting::Waiting, waves::Waves,
     },
     task::StepKey,
 };
@@ -98,7 +99,7 @@
     /// earlier leader started: that leader's last orders and the longest lease they gave.
     pub inherited_lease: Duration,
     /// How long a look may wait for an end.
-    pub look_wait: Duration,
+    pub poll_wait: Duration,
     /// How old an earlier leader's order for a host must be before a new leader gives one.
     pub host_order_pause: Duration,
     /// How many orders for hosts the platform takes in a second, from all daemons together.
@@ -114,7 +115,7 @@
         Self {
             lease: Duration::from_millis(4_000),
             inherited_lease: Duration::from_millis(12_000),
-            look_wait: Duration::from_millis(1_000),
+            poll_wait: Duration::from_millis(1_000),
             host_order_pause: Duration::from_millis(3_500),
             host_calls_per_s: 64.0,
             host_move: Duration::from_millis(1_500),
@@ -128,45 +129,45 @@
 pub struct Scheduler {
     limits: Limits,
     /// When this leader took over.
-    began: Time,
+    took_over_at: Time,
     ledger: Ledger,
     config: Option<Arc<Config>>,
     executors: ExecutorTable,
-    rooms: Rooms,
+    free_capacity: FreeCapacityByPool,
     waiting: Waiting,
     /// When a lasting step last found no room.
-    lasting_missed: BTreeMap<StepKey, Time>,
+    lasting_unplaced: BTreeMap<StepKey, Time>,
     /// What callers have handed in, against their shares.
     job_rates: BTreeMap<CallerName, JobRate>,
     /// When it was last told that a caller's tasks wait for its quota.
-    told_at_quota: BTreeMap<CallerName, Time>,
+    quota_logged: BTreeMap<CallerName, Time>,
     /// Executors that may be due for a look since something has happened to them.
-    unlooked: Vec<ExecutorName>,
+    poll_candidates: Vec<ExecutorName>,
     /// Hosts that an earlier leader has ordered about of late, and how long ago at least when this
     /// one took over.
-    inherited_orders: BTreeMap<HostName, Duration>,
+    inherited_host_orders: BTreeMap<HostName, Duration>,
     times: BTreeMap<JobName, JobTimes>,
     learned: Learned,
     outbox: Outbox,
     advice: Advice,
-    kept_room: KeptRoom,
+    gang_reservations: GangReservations,
     fleet: Fleet,
     /// The tasks of lasting steps that are not at work, as of the last step of the fleet.
-    away: BTreeMap<StepKey, BTreeSet<u32>>,
+    unavailable: BTreeMap<StepKey, BTreeSet<u32>>,
     waves: Waves,
     lending: Lending,
     /// Pools in which a waiting task may find a host since the last pass.
-    stirred: BTreeSet<PoolName>,
+    dirty_pools: BTreeSet<PoolName>,
     /// Jobs that may have ended since the last look at them.
-    touched: BTreeSet<JobName>,
+    maybe_ended: BTreeSet<JobName>,
     /// Jobs whose end is being stored.
-    ending: BTreeMap<JobName, u64>,
+    ending_jobs: BTreeMap<JobName, u64>,
     /// Executors that ended since the last decision.
     ended_executors: Vec<EndedExecutor>,
     suspects: Suspects,
     failed_starts: FailedStarts,
     stragglers: Stragglers,
-    starting: Starting,
+    pending_starts: PendingStarts,
     last_sweep: Time,
     last_slow_sweep: Time,
     effects: Vec<Effect>,
@@ -198,7 +199,7 @@
                 self.looked(now, &executor, sent, order, answer);
             }
             Event::PaceAnswered { executor, task, answer } => {
-                self.pace_answered(&executor, &task, answer);
+                self.speed_limit_answered(&executor, &task, answer);
             }
             Event::Advised { step, sent, asked, allowed } => {
                 self.advised(now, sent, &step, &asked, allowed);
@@ -224,13 +225,13 @@
         }
         self.note_crashes(now);
         self.finish_jobs(now);
-        self.renew_rooms(now, sweep);
-        self.renew_waiting(now, sweep);
+        self.update_free_capacity(now, sweep);
+        self.update_waiting(now, sweep);
         self.place_waiting(now);
         if slow_sweep {
             // After the pass: a host that has just come back is idle until then, and would be sent
             // away again past the tasks that wait for it.
-            self.step_fleet(now);
+            self.advance_fleet(now);
         }
         self.look_around(now, sweep);
         self.flush(now);
@@ -241,14 +242,14 @@
     fn sweep(&mut self, now: Now) {
         self.release_lapsed(now);
         self.begin_due(now);
-        self.stirred.extend(self.executors.pools().cloned());
+        self.dirty_pools.extend(self.executors.pools().cloned());
         self.forget_executors(now);
     }
 
     /// Looks through runs, and drops what is not needed any more.
     fn sweep_runs(&mut self, now: Now) {
         self.repeat_stops(now);
-        self.give_up_stragglers(now);
+        self.stop_stragglers(now);
         self.clear_suspects();
         self.forget_outcomes(now);
         self.forget_advice();
@@ -256,12 +257,12 @@
         self.forget_failed_starts();
         self.forget_stragglers();
         let jobs = &self.ledger.jobs;
-        self.lasting_missed.retain(|step, _| jobs.contains_key(&step.job));
+        self.lasting_unplaced.retain(|step, _| jobs.contains_key(&step.job));
     }
 
     fn configure(&mut self, now: Now, config: Arc<Config>) {
-        self.stirred.extend(config.pools.keys().cloned());
-        self.tell_callers(&config);
+        self.dirty_pools.extend(config.pools.keys().cloned());
+        self.log_caller_changes(&config);
         self.config = Some(config);
         self.renew_times(now);
     }
@@ -270,7 +271,7 @@
     fn record(&mut self, record: Record) {
         self.ledger.apply(&record);
         if let Some(job) = record.job() {
-            self.waiting.note(job);
+            self.waiting.mark_stale(job);
         }
         self.outbox.add(record);
     }
@@ -282,9 +283,9 @@
         Some(&times.pool)
     }
 
-    fn stir_pool_of(&mut self, job: &JobName) {
+    fn mark_pool_dirty(&mut self, job: &JobName) {
         if let Some(pool) = self.pool_of(job).cloned() {
-            self.stirred.insert(pool);
+            self.dirty_pools.insert(pool);
         }
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/outbox.rs
+++ b/crates/borageswitch_scheduler/src/reducer/outbox.rs
@@ -37,13 +37,13 @@
 pub struct Outbox {
     next_append: u64,
     in_flight: Option<u64>,
-    left_at: Time,
+    sent_at: Time,
     pending: Vec<Record>,
     forget: Vec<JobName>,
-    waiting: Vec<Deferred>,
-    in_flight_waiting: Vec<Deferred>,
+    deferred_actions: Vec<Deferred>,
+    in_flight_actions: Vec<Deferred>,
     /// The first append that no snapshot has taken in.
-    oldest: u64,
+    first_uncompacted: u64,
     /// The ledger as the append on its way leaves it.
     snapshot: Option<Box<Snapshot>>,
 }
@@ -56,7 +56,7 @@
 /// The most jobs whose keys one append removes. The store takes 32 entries a call and refuses more
 /// whole, for ever: nothing would be stored any more. Three entries are taken, and a job has up to
 /// two keys.
-const MAX_FORGET: usize = 14;
+const MAX_FORGOTTEN_JOBS: usize = 14;
 
 impl Outbox {
     /// An outbox whose first append has number `next_append`.
@@ -64,12 +64,12 @@
         Self {
             next_append,
             in_flight: None,
-            left_at: Time::ZERO,
+            sent_at: Time::ZERO,
             pending: Vec::new(),
             forget: Vec::new(),
-            waiting: Vec::new(),
-            in_flight_waiting: Vec::new(),
-            oldest: next_append.saturating_sub(APPENDS_PER_SNAPSHOT),
+            deferred_actions: Vec::new(),
+            in_flight_actions: Vec::new(),
+            first_uncompacted: next_append.saturating_sub(APPENDS_PER_SNAPSHOT),
             snapshot: None,
         }
     }
@@ -78,25 +78,25 @@
         self.pending.push(record);
     }
 
-    pub(super) fn then_start(&mut self, executor: ExecutorName, task: TaskKey, run: u32) {
-        self.waiting.push(Deferred::Start(executor, task, run));
+    pub(super) fn defer_start(&mut self, executor: ExecutorName, task: TaskKey, run: u32) {
+        self.deferred_actions.push(Deferred::Start(executor, task, run));
     }
 
-    pub(super) fn then_acknowledge(&mut self, executor: ExecutorName, number: u64) {
-        self.waiting.push(Deferred::Acknowledge(executor, number));
+    pub(super) fn defer_acknowledge(&mut self, executor: ExecutorName, number: u64) {
+        self.deferred_actions.push(Deferred::Acknowledge(executor, number));
     }
 
-    pub(super) fn then_order_host(&mut self, host: HostName) {
-        self.waiting.push(Deferred::OrderHost(host));
+    pub(super) fn defer_host_order(&mut self, host: HostName) {
+        self.deferred_actions.push(Deferred::OrderHost(host));
     }
 
-    pub(super) fn then_show_end(&mut self, job: JobName) {
+    pub(super) fn defer_show_end(&mut self, job: JobName) {
         self.forget(job.clone());
-        self.waiting.push(Deferred::ShowEnd(job));
+        self.deferred_actions.push(Deferred::ShowEnd(job));
     }
 
-    pub(super) fn then_report_wave(&mut self, wave: u64) {
-        self.waiting.push(Deferred::ReportWave(wave));
+    pub(super) fn defer_wave_report(&mut self, wave: u64) {
+        self.deferred_actions.push(Deferred::ReportWave(wave));
     }
 
     /// A submission that is stored although its job has ended.
@@ -117,8 +117,8 @@
     pub(super) fn flush(&mut self, now: Now) {
         let outbox = &self.outbox;
         let idle = outbox.pending.is_empty() && outbox.forget.is_empty();
-        let paused = now.time.since(outbox.left_at) < self.limits.append_interval;
-        if idle || outbox.in_flight.is_some() || (paused && outbox.left_at > Time::ZERO) {
+        let paused = now.time.since(outbox.sent_at) < self.limits.append_interval;
+        if idle || outbox.in_flight.is_some() || (paused && outbox.sent_at > Time::ZERO) {
             return;
         }
         if !self.ledger.host_orders.is_empty() {
@@ -127,20 +127,20 @@
         }
         let outbox = &mut self.outbox;
         let append = outbox.next_append;
-        let whole = outbox.pending.len() <= MAX_RECORDS;
+        let complete = outbox.pending.len() <= MAX_RECORDS;
         let rest = outbox.pending.split_off(outbox.pending.len().min(MAX_RECORDS));
         let records = std::mem::replace(&mut outbox.pending, rest);
-        let kept = outbox.forget.split_off(outbox.forget.len().min(MAX_FORGET));
-        let forget = std::mem::replace(&mut outbox.forget, kept);
-        if whole {
-            outbox.in_flight_waiting.append(&mut outbox.waiting);
+        let postponed = outbox.forget.split_off(outbox.forget.len().min(MAX_FORGOTTEN_JOBS));
+        let forget = std::mem::replace(&mut outbox.forget, postponed);
+        if complete {
+            outbox.in_flight_actions.append(&mut outbox.deferred_actions);
         }
         outbox.next_append += 1;
         outbox.in_flight = Some(append);
-        outbox.left_at = now.time;
+        outbox.sent_at = now.time;
         // Only a ledger without records that are still to be stored may be a snapshot: of a later
         // one some would be applied once more when the appends after it are read.
-        if whole && append >= outbox.oldest + APPENDS_PER_SNAPSHOT {
+        if complete && append >= outbox.first_uncompacted + APPENDS_PER_SNAPSHOT {
             outbox.snapshot = Some(Box::new(Snapshot::of(&self.ledger, append)));
         }
         self.effects.push(Effect::Append { append, records, forget });
@@ -152,18 +152,19 @@
         }
         self.outbox.in_flight = None;
         if let Some(snapshot) = self.outbox.snapshot.take() {
-            let oldest = self.outbox.oldest;
+            let first_uncompacted = self.outbox.first_uncompacted;
             // A long queue of appends is removed in parts.
-            let through = snapshot.through.min(oldest + APPENDS_PER_SNAPSHOT);
-            self.outbox.oldest = through + 1;
-            self.effects.push(Effect::StoreSnapshot { snapshot, remove: oldest..=through });
+            let through = snapshot.through.min(first_uncompacted + APPENDS_PER_SNAPSHOT);
+            self.outbox.first_uncompacted = through + 1;
+            self.effects
+                .push(Effect::StoreSnapshot { snapshot, remove: first_uncompacted..=through });
         }
-        for deferred in std::mem::take(&mut self.outbox.in_flight_waiting) {
-            self.carry_out(now, deferred);
+        for deferred in std::mem::take(&mut self.outbox.in_flight_actions) {
+            self.run_deferred(now, deferred);
         }
     }
 
-    fn carry_out(&mut self, now: Now, deferred: Deferred) {
+    fn run_deferred(&mut self, now: Now, deferred: Deferred) {
         match deferred {
             Deferred::Start(executor, task, run) => self.send_start(now, &executor, &task, run),
             Deferred::OrderHost(host) => self.send_host_order(now, &host),
@@ -173,7 +174,7 @@
                 }
             }
             Deferred::ShowEnd(job) => {
-                self.ending.remove(&job);
+                self.ending_jobs.remove(&job);
             }
             Deferred::ReportWave(wave) => {
                 self.effects.push(Effect::ReportWave { wave, completed: true });
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -15,8 +15,8 @@
     reducer::{
         Scheduler,
         executors::Phase,
-        rooms::Room,
-        waiting::{Order, WaitingStep},
+        free_capacity::FreeCapacity,
+        waiting::{WaitingOrder, WaitingStep},
     },
     task::TaskKey,
 };
@@ -24,15 +24,15 @@
 /// How long after a miss a lasting step is tried again. Room is made for it within some hundred
 /// milliseconds; to look through a pool of hundreds of hosts at each decision until then would take
 /// a good part of a core where a rack with lasting tasks is lost in a rush.
-const LASTING_PAUSE: Duration = Duration::from_millis(20);
+const LASTING_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What came of an attempt to place a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Placed {
+enum Placement {
     /// All of it has a place, or waits for something else.
     Done,
     /// No executor has room for one of its tasks, whatever else the step asks for.
-    NoRoom,
+    NoCapacity,
 }
 
 /// Sizes for which no executor of a pool has room.
@@ -40,25 +40,25 @@
 /// With a pool full and thousands of tasks waiting, most of a pass would go into asking each host
 /// again for each step.
 #[derive(Debug, Default)]
-struct Full {
+struct UnplaceableSizes {
     sizes: Vec<Size>,
 }
 
-impl Full {
+impl UnplaceableSizes {
     /// Whether there is no room for a task of this size for certain.
-    fn is_certain(&self, size: &Size) -> bool {
-        self.sizes.iter().any(|full| size.holds(full))
+    fn rules_out(&self, size: &Size) -> bool {
+        self.sizes.iter().any(|unplaceable| size.holds(unplaceable))
     }
 
-    fn note(&mut self, size: Size) {
-        self.sizes.retain(|full| !full.holds(&size));
+    fn add(&mut self, size: Size) {
+        self.sizes.retain(|unplaceable| !unplaceable.holds(&size));
         self.sizes.push(size);
     }
 }
 
 /// The steps that last, and all others.
 fn split_lasting(
-    order: &Order,
+    order: &WaitingOrder,
 ) -> (impl Iterator<Item = &WaitingStep>, impl Iterator<Item = &WaitingStep>) {
     (
         order.values().take_while(|step| step.urgency.is_lasting()),
@@ -69,80 +69,93 @@
 impl Scheduler {
     /// Places what waits in the pools in which something has changed.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        for pool in std::mem::take(&mut self.stirred) {
+        for pool in std::mem::take(&mut self.dirty_pools) {
             let order = self.waiting.take(&pool);
             if order.is_empty() {
                 continue;
             }
-            let mut room = self.rooms.take(&pool);
-            self.place_all(now, &pool, &order, &mut room);
-            self.rooms.put_back(&pool, room);
+            let mut available = self.free_capacity.take(&pool);
+            self.place_all(now, &pool, &order, &mut available);
+            self.free_capacity.put_back(&pool, available);
             self.waiting.put_back(&pool, order);
         }
     }
 
-    fn place_all(&mut self, now: Now, pool: &PoolName, order: &Order, room: &mut Room) {
-        self.renew_kept_room(now, pool, order);
-        let ahead = self.let_ahead(pool, order);
+    fn place_all(
+        &mut self,
+        now: Now,
+        pool: &PoolName,
+        order: &WaitingOrder,
+        available: &mut FreeCapacity,
+    ) {
+        self.update_reservation(now, pool, order);
+        let ahead = self.last_chance_steps(pool, order);
         let (first, rest) = split_lasting(order);
         let rest = rest.filter(|step| !ahead.iter().any(|other| other.key == step.key));
-        let mut full = Full::default();
+        let mut unplaceable = UnplaceableSizes::default();
         for step in first.chain(ahead.iter()).chain(rest) {
             if self.is_at_quota(step) {
-                self.tell_at_quota(now, step);
+                self.log_at_quota(now, step);
                 if step.gang {
-                    self.stop_incomplete(now, step);
+                    self.stop_partial_gang(now, step);
                 }
                 continue;
             }
-            if self.starting.left() == 0 {
-                self.starting.hold_back(pool);
+            if self.pending_starts.remaining() == 0 {
+                self.pending_starts.add_blocked_pool(pool);
                 break;
             }
-            let own = step.urgency.is_lasting() || self.has_kept_room(pool, &step.key);
-            if own {
-                self.place_own(now, pool, step, room);
+            let may_use_reserved =
+                step.urgency.is_lasting() || self.has_reservation(pool, &step.key);
+            if may_use_reserved {
+                self.place_with_reserved(now, pool, step, available);
                 continue;
             }
-            if full.is_certain(&step.size) {
+            if unplaceable.rules_out(&step.size) {
                 if step.gang {
-                    self.gang_without_room(now, pool, step);
+                    self.gang_without_capacity(now, pool, step);
                 }
                 continue;
             }
-            let mut kept = self.take_kept_room(pool, room);
-            if self.place_step(now, pool, step, room) == Placed::NoRoom {
-                full.note(step.size);
+            let mut reserved_capacity = self.take_reserved(pool, available);
+            if self.place_step(now, pool, step, available) == Placement::NoCapacity {
+                unplaceable.add(step.size);
             }
-            room.append(&mut kept);
+            available.append(&mut reserved_capacity);
         }
     }
 
     /// Places a step that may use all room there is. A lasting one that found none is tried again
     /// only after a while.
-    fn place_own(&mut self, now: Now, pool: &PoolName, step: &WaitingStep, room: &mut Room) {
-        let rests = self.lasting_missed.get(&step.key);
-        if rests.is_some_and(|at| now.time.since(*at) < LASTING_PAUSE) {
+    fn place_with_reserved(
+        &mut self,
+        now: Now,
+        pool: &PoolName,
+        step: &WaitingStep,
+        available: &mut FreeCapacity,
+    ) {
+        let last_miss = self.lasting_unplaced.get(&step.key);
+        if last_miss.is_some_and(|at| now.time.since(*at) < LASTING_RETRY_INTERVAL) {
             return;
         }
-        self.lasting_missed.remove(&step.key);
-        self.place_step(now, pool, step, room);
+        self.lasting_unplaced.remove(&step.key);
+        self.place_step(now, pool, step, available);
     }
 
     /// The late steps that must run now and may go ahead of all others.
-    fn let_ahead(&self, pool: &PoolName, order: &Order) -> Vec<WaitingStep> {
+    fn last_chance_steps(&self, pool: &PoolName, order: &WaitingOrder) -> Vec<WaitingStep> {
         let due = order.values().filter(|step| step.due && !self.is_at_quota(step));
         let due: Vec<&WaitingStep> = due.collect();
         if due.is_empty() {
             return Vec::new();
         }
-        let (mut whole, mut late) = (0, 0);
+        let (mut total, mut late) = (0, 0);
         for (_, known) in self.executors.of_pool(pool) {
-            whole += known.registration.capacity.cpu_milli;
+            total += known.registration.capacity.cpu_milli;
             let runs = known.runs.values().filter(|held| held.late);
             late += runs.map(|held| held.size.cpu_milli).sum::<u64>();
         }
-        let mut allowance = Allowance::of(whole, late);
+        let mut allowance = Allowance::of(total, late);
         let granted = due
             .into_iter()
             .filter(|step| allowance.take(step.size.cpu_milli * step.waiting.len() as u64));
@@ -156,26 +169,26 @@
         now: Now,
         pool: &PoolName,
         waiting: &WaitingStep,
-        room: &mut Room,
-    ) -> Placed {
-        let Some(job) = self.ledger.jobs.get(&waiting.key.job) else { return Placed::Done };
-        let Some(step) = job.step(waiting.key.step).cloned() else { return Placed::Done };
+        available: &mut FreeCapacity,
+    ) -> Placement {
+        let Some(job) = self.ledger.jobs.get(&waiting.key.job) else { return Placement::Done };
+        let Some(step) = job.step(waiting.key.step).cloned() else { return Placement::Done };
         let needs_ticket = self.needs_ticket(job);
         if step.gang && self.failed_starts.holds_back_gang(now.time, waiting) {
-            return Placed::Done;
+            return Placement::Done;
         }
         if step.gang {
-            let placed = self.place_gang(now, pool, waiting, &step, room);
+            let placed = self.place_gang(now, pool, waiting, &step, available);
             if needs_ticket && !placed {
-                self.ask_advice(now, &waiting.key, &step, room);
+                self.ask_advice(now, &waiting.key, &step, available);
             }
-            return Placed::Done;
+            return Placement::Done;
         }
         let size = waiting.size;
-        let mut places = self.places(now, &waiting.key, &step, room);
-        let mut without_host = None;
-        let most = self.startable(waiting).min(self.starting.left());
-        for &index in waiting.waiting.iter().take(most) {
+        let mut places = self.places(now, &waiting.key, &step, available);
+        let mut without_isolation = None;
+        let limit = self.startable(waiting).min(self.pending_starts.remaining());
+        for &index in waiting.waiting.iter().take(limit) {
             let task = waiting.key.task(index);
             let standing = self.standing(&task);
             if standing == Standing::Culprit || self.failed_starts.holds_back(now.time, &task) {
@@ -184,37 +197,37 @@
             let Some(executor) = places.take(&size, standing) else {
                 if standing == Standing::Isolated {
                     // It waits for a host without suspects; there may be room for the others.
-                    without_host = Some(task);
+                    without_isolation = Some(task);
                     continue;
                 }
                 if needs_ticket {
-                    self.ask_advice(now, &waiting.key, &step, room);
+                    self.ask_advice(now, &waiting.key, &step, available);
                 }
                 if step.lasting {
-                    self.make_room(now, pool, &task, &step);
-                    self.lasting_missed.insert(waiting.key.clone(), now.time);
-                    return Placed::Done;
+                    self.preempt_for(now, pool, &task, &step);
+                    self.lasting_unplaced.insert(waiting.key.clone(), now.time);
+                    return Placement::Done;
                 }
                 // The other tasks of the step are of the same size.
-                let none = !room.values().any(|free| free.holds(&size));
-                return if none { Placed::NoRoom } else { Placed::Done };
+                let nowhere = !available.values().any(|free| free.holds(&size));
+                return if nowhere { Placement::NoCapacity } else { Placement::Done };
             };
             if standing == Standing::Isolated {
-                room.remove(&executor);
-            } else if let Some(left) = room.get_mut(&executor) {
+                available.remove(&executor);
+            } else if let Some(left) = available.get_mut(&executor) {
                 *left = left.less(&size);
             }
             self.assign(now, &executor, &task, None);
-            self.note_late(&executor, &task, waiting.urgency);
+            self.mark_late(&executor, &task, waiting.urgency);
         }
-        if let Some(task) = without_host.filter(|_| step.lasting) {
-            self.make_room(now, pool, &task, &step);
-            self.lasting_missed.insert(waiting.key.clone(), now.time);
+        if let Some(task) = without_isolation.filter(|_| step.lasting) {
+            self.preempt_for(now, pool, &task, &step);
+            self.lasting_unplaced.insert(waiting.key.clone(), now.time);
         }
-        Placed::Done
+        Placement::Done
     }
 
-    fn note_late(&mut self, executor: &ExecutorName, task: &TaskKey, urgency: Urgency) {
+    fn mark_late(&mut self, executor: &ExecutorName, task: &TaskKey, urgency: Urgency) {
         let known = self.executors.get_mut(executor);
         if let Some(held) = known.and_then(|known| known.runs.get_mut(task)) {
             held.late = urgency.is_late();
@@ -235,10 +248,10 @@
         self.executors.hold(executor, task, held);
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.trust.placed(now.time);
-        self.starting.decided(task, run);
+        self.pending_starts.begin(task, run);
         self.watch_suspect(now, executor, task);
         self.record(Record::Assigned { task: task.clone(), run, executor: executor.clone() });
-        self.outbox.then_start(executor.clone(), task.clone(), run);
+        self.outbox.defer_start(executor.clone(), task.clone(), run);
     }
 }
 
--- a/crates/borageswitch_scheduler/src/reducer/pass/tests.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass/tests.rs
@@ -1,4 +1,4 @@
-use super::Full;
+use super::UnplaceableSizes;
 use crate::job::Size;
 
 fn size(cpu_milli: u64, memory_mb: u64) -> Size {
@@ -6,26 +6,26 @@
 }
 
 #[test]
-fn thousands_of_tasks_that_wait_are_told_by_the_few_smallest_sizes() {
+fn a_long_backlog_leaves_only_the_smallest_unplaceable_sizes() {
     // A pool is full, and thousands of tasks of all sizes wait. Where there is no room for a small
     // task there is none for a larger one; asked host by host for each of them, every decision
     // would take longer the longer the backlog is.
-    let mut full = Full::default();
+    let mut unplaceable = UnplaceableSizes::default();
     for cores in (1..2_000).rev() {
-        full.note(size(cores, 2 * cores));
+        unplaceable.add(size(cores, 2 * cores));
     }
 
-    assert_eq!(full.sizes, [size(1, 2)]);
-    assert!(full.is_certain(&size(1, 2)));
-    assert!(full.is_certain(&size(900, 900)));
+    assert_eq!(unplaceable.sizes, [size(1, 2)]);
+    assert!(unplaceable.rules_out(&size(1, 2)));
+    assert!(unplaceable.rules_out(&size(900, 900)));
 }
 
 #[test]
-fn a_task_that_needs_less_of_something_is_asked_for() {
-    let mut full = Full::default();
-    full.note(size(4_000, 500));
-    full.note(size(500, 4_000));
+fn a_size_that_is_smaller_in_one_dimension_is_not_ruled_out() {
+    let mut unplaceable = UnplaceableSizes::default();
+    unplaceable.add(size(4_000, 500));
+    unplaceable.add(size(500, 4_000));
 
-    assert!(!full.is_certain(&size(3_000, 3_000)));
-    assert!(full.is_certain(&size(4_000, 4_000)));
+    assert!(!unplaceable.rules_out(&size(3_000, 3_000)));
+    assert!(unplaceable.rules_out(&size(4_000, 4_000)));
 }
--- a/crates/borageswitch_scheduler/src/reducer/starting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pending_starts.rs
@@ -12,30 +12,30 @@
 
 /// The starts on their way, from the decision to the answer.
 #[derive(Debug, Default)]
-pub struct Starting {
+pub struct PendingStarts {
     runs: BTreeMap<TaskKey, u32>,
     window: StartWindow,
     /// Pools in which tasks wait for an answer, as no more could be decided.
-    held_back: BTreeSet<PoolName>,
+    blocked_pools: BTreeSet<PoolName>,
 }
 
-impl Starting {
+impl PendingStarts {
     /// How many more may be decided.
-    pub(super) fn left(&self) -> usize {
+    pub(super) fn remaining(&self) -> usize {
         self.window.left(self.runs.len())
     }
 
     /// Tasks of a pool wait until a start is answered.
-    pub(super) fn hold_back(&mut self, pool: &PoolName) {
-        self.held_back.insert(pool.clone());
+    pub(super) fn add_blocked_pool(&mut self, pool: &PoolName) {
+        self.blocked_pools.insert(pool.clone());
     }
 
     /// The pools in which more may be decided now.
-    pub(super) fn take_held_back(&mut self) -> BTreeSet<PoolName> {
-        std::mem::take(&mut self.held_back)
+    pub(super) fn take_blocked_pools(&mut self) -> BTreeSet<PoolName> {
+        std::mem::take(&mut self.blocked_pools)
     }
 
-    pub(super) fn decided(&mut self, task: &TaskKey, run: u32) {
+    pub(super) fn begin(&mut self, task: &TaskKey, run: u32) {
         self.runs.insert(task.clone(), run);
     }
 
@@ -51,11 +51,11 @@
         if !matches!(answer, StartAnswer::Lost | StartAnswer::NotSent) {
             self.window.answered(now, took, self.runs.len());
         }
-        self.over(task, run);
+        self.finish(task, run);
     }
 
     /// A run is over or was never begun.
-    pub(super) fn over(&mut self, task: &TaskKey, run: u32) {
+    pub(super) fn finish(&mut self, task: &TaskKey, run: u32) {
         if self.runs.get(task) == Some(&run) {
             self.runs.remove(task);
         }
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -11,7 +11,7 @@
         blame::Standing,
         placing::{self, Candidate},
     },
-    reducer::{Scheduler, executors::Executor, rooms::Room},
+    reducer::{Scheduler, executors::Executor, free_capacity::FreeCapacity},
     task::{StepKey, TaskKey},
 };
 
@@ -22,7 +22,7 @@
     rack: Option<Arc<str>>,
     candidate: Candidate<usize>,
     /// How many more tasks of the step it may have.
-    more: Option<usize>,
+    remaining: Option<usize>,
 }
 
 /// Where the tasks of one step may go.
@@ -34,13 +34,13 @@
 pub(super) struct Places {
     places: Vec<Place>,
     lasting: bool,
-    fills: bool,
+    best_effort: bool,
 }
 
 impl Places {
     /// Gives the best place to a task.
     pub(super) fn take(&mut self, size: &Size, standing: Standing) -> Option<ExecutorName> {
-        let open = self.places.iter().filter(|place| place.more != Some(0));
+        let open = self.places.iter().filter(|place| place.remaining != Some(0));
         let open = open.map(|place| place.candidate);
         let best = match standing {
             Standing::Clear | Standing::Suspect => placing::choose(size, open)?,
@@ -52,11 +52,11 @@
         place.candidate.tasks += 1;
         place.candidate.free = place.candidate.free.less(size);
         place.candidate.in_use = true;
-        place.candidate.siblings += usize::from(self.fills);
-        place.more = match standing {
+        place.candidate.siblings += usize::from(self.best_effort);
+        place.remaining = match standing {
             // Nothing is started beside it for a while.
             Standing::Isolated => Some(0),
-            _ => place.more.map(|more| more - 1),
+            _ => place.remaining.map(|remaining| remaining - 1),
         };
         let (executor, rack) = (place.executor.clone(), place.rack.clone());
         if self.lasting {
@@ -86,8 +86,14 @@
     }
 
     /// Where tasks of a step may go.
-    pub(super) fn places(&self, now: Now, key: &StepKey, step: &Step, room: &Room) -> Places {
-        let size = reserved(step);
+    pub(super) fn places(
+        &self,
+        now: Now,
+        key: &StepKey,
+        step: &Step,
+        available: &FreeCapacity,
+    ) -> Places {
+        let size = reserved_size(step);
         let avoid = self.times.get(&key.job).and_then(|times| times.failed_on.as_ref());
         let counts_siblings = step.fills || step.max_per_host.is_some();
         let by_rack = self.siblings_by_rack(key, step);
@@ -95,23 +101,23 @@
         let isolated = tasks.into_iter().any(|(_, c)| Standing::of(c) == Standing::Isolated);
         let mut places = Vec::new();
         // Most hosts of a pool in its rush are full, and are told by their room alone.
-        for (executor, free) in room.iter().filter(|(_, free)| free.holds(&size)) {
+        for (executor, free) in available.iter().filter(|(_, free)| free.holds(&size)) {
             let Some(known) = self.executors.get(executor) else { continue };
             if !self.may_run_on(now, key, step, executor, 0) {
                 continue;
             }
-            let there = if counts_siblings { siblings(known, key) } else { 0 };
+            let existing = if counts_siblings { siblings(known, key) } else { 0 };
             let candidate = Candidate {
                 id: places.len(),
                 free: *free,
                 suspects: self.suspects.count_on(executor),
                 unsteady: isolated && self.is_unsteady(now, executor),
                 tasks: known.runs.len(),
-                disturbs: disturbs(step, known),
+                disturbs: interferes(step, known),
                 wasted: step.label.is_none() && self.fleet.is_scarce(&known.registration.labels),
-                near: is_near(step, known) && avoid != Some(executor),
+                near: is_near_data(step, known) && avoid != Some(executor),
                 in_use: !known.runs.is_empty(),
-                siblings: if step.fills { there } else { 0 },
+                siblings: if step.fills { existing } else { 0 },
                 rack_siblings: known
                     .registration
                     .rack()
@@ -122,10 +128,10 @@
                 executor: executor.clone(),
                 rack: known.registration.rack().cloned(),
                 candidate,
-                more: step.max_per_host.map(|most| (most as usize).saturating_sub(there)),
+                remaining: step.max_per_host.map(|most| (most as usize).saturating_sub(existing)),
             });
         }
-        Places { places, lasting: step.lasting, fills: step.fills }
+        Places { places, lasting: step.lasting, best_effort: step.fills }
     }
 
     /// Tasks of the same step in each rack; counted only where it matters.
@@ -146,7 +152,7 @@
 }
 
 /// The room that a task of a step takes.
-pub(super) fn reserved(step: &Step) -> Size {
+pub(super) fn reserved_size(step: &Step) -> Size {
     let cpu_milli = if step.fills { 0 } else { step.size.cpu_milli };
     Size { cpu_milli, ..step.size }
 }
@@ -166,7 +172,7 @@
 }
 
 /// Whether a task that fills gaps would come beside one that serves users, or the other way round.
-fn disturbs(step: &Step, known: &Executor) -> bool {
+fn interferes(step: &Step, known: &Executor) -> bool {
     let serves = step.target_tail.is_some() && !step.fills;
     let mut others = known.runs.values();
     if step.fills {
@@ -176,6 +182,6 @@
     }
 }
 
-fn is_near(step: &Step, known: &Executor) -> bool {
+fn is_near_data(step: &Step, known: &Executor) -> bool {
     step.data_rack.as_ref().is_none_or(|rack| known.registration.is_in_rack(rack))
 }
--- a/crates/borageswitch_scheduler/src/reducer/evict.rs
+++ b/crates/borageswitch_scheduler/src/reducer/preemption.rs
@@ -15,7 +15,7 @@
     reducer::{
         Scheduler,
         executors::{Executor, Held, Phase},
-        places::reserved,
+        places::reserved_size,
     },
     task::TaskKey,
 };
@@ -24,16 +24,16 @@
     /// Stops the short runs whose loss is least on one executor, so that a lasting task fits there.
     ///
     /// Does nothing while room is on its way somewhere.
-    pub(super) fn make_room(&mut self, now: Now, pool: &PoolName, task: &TaskKey, step: &Step) {
+    pub(super) fn preempt_for(&mut self, now: Now, pool: &PoolName, task: &TaskKey, step: &Step) {
         let key = task.step_key();
-        let size = reserved(step);
+        let size = reserved_size(step);
         let suitable: Vec<(&ExecutorName, &Executor)> = self
             .executors
             .of_pool(pool)
             .filter(|(_, known)| known.is_open(now.time))
             .filter(|(executor, _)| self.may_run_on(now, &key, step, executor, 0))
             .collect();
-        if suitable.iter().any(|(_, known)| room_to_come(known).holds(&size)) {
+        if suitable.iter().any(|(_, known)| free_after_stops(known).holds(&size)) {
             return;
         }
         let cheapest = suitable
@@ -55,12 +55,12 @@
 }
 
 /// The room once everything that is being stopped has ended.
-fn room_to_come(known: &Executor) -> Size {
-    let mut room = known.free();
+fn free_after_stops(known: &Executor) -> Size {
+    let mut available = known.free();
     for held in known.runs.values().filter(|held| held.phase == Phase::Stopping) {
-        room += held.size;
+        available += held.size;
     }
-    room
+    available
 }
 
 /// The short runs to stop for `size`, with the core-milliseconds that each has worked, the least
@@ -71,14 +71,14 @@
     let short = known.runs.iter().filter(|(_, h)| !h.lasting && h.phase == Phase::Active);
     let mut short: Vec<(&TaskKey, &Held)> = short.collect();
     short.sort_by_key(|(_, held)| loss(held));
-    let mut room = room_to_come(known);
+    let mut available = free_after_stops(known);
     let mut victims = Vec::new();
     for (task, held) in short {
-        if room.holds(size) {
+        if available.holds(size) {
             break;
         }
-        room += held.size;
+        available += held.size;
         victims.push((task.clone(), loss(held)));
     }
-    room.holds(size).then_some(victims)
+    available.holds(size).then_some(victims)
 }
--- a/crates/borageswitch_scheduler/src/reducer/quotas.rs
+++ b/crates/borageswitch_scheduler/src/reducer/quotas.rs
@@ -17,10 +17,10 @@
 };
 
 /// The shortest time between two lines about one caller.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// For which hosts tasks of a caller wait: those of a pool, with a label or any.
-type Wanted<'a> = (&'a CallerName, &'a PoolName, Option<&'a str>);
+type HostKind<'a> = (&'a CallerName, &'a PoolName, Option<&'a str>);
 
 /// What callers may start, while it is dealt out to the tasks that wait.
 ///
@@ -28,12 +28,12 @@
 /// these tasks can run is not known here. Dealt out once for all of them, it would go to tasks that
 /// find no host, and none would be fetched for the others, which then wait for ever.
 #[derive(Debug)]
-pub(super) struct Dealing<'a> {
+pub(super) struct QuotaAllocation<'a> {
     scheduler: &'a Scheduler,
-    dealt: BTreeMap<Wanted<'a>, Size>,
+    allocated: BTreeMap<HostKind<'a>, Size>,
 }
 
-impl<'a> Dealing<'a> {
+impl<'a> QuotaAllocation<'a> {
     /// Takes as much as a caller's tasks of one size may, of so many.
     pub(super) fn take(
         &mut self,
@@ -44,19 +44,19 @@
     ) -> u64 {
         let Some(caller) = &job.submission.caller else { return tasks };
         let Some(quota) = self.scheduler.quota_of(caller) else { return tasks };
-        let dealt = self.dealt.entry((caller, pool, step.label.as_deref())).or_default();
-        let used = self.scheduler.executors.usage().of(caller).size + *dealt;
+        let allocated = self.allocated.entry((caller, pool, step.label.as_deref())).or_default();
+        let used = self.scheduler.executors.usage().of(caller).size + *allocated;
         let left = quotas::startable(&quota, &used, &step.size);
         let taken = left.map_or(tasks, |left| tasks.min(left.with_last));
-        *dealt += step.size.times(taken);
+        *allocated += step.size.times(taken);
         taken
     }
 }
 
 impl Scheduler {
     /// What all callers may start as things stand.
-    pub(super) fn dealing(&self) -> Dealing<'_> {
-        Dealing { scheduler: self, dealt: BTreeMap::new() }
+    pub(super) fn quota_allocation(&self) -> QuotaAllocation<'_> {
+        QuotaAllocation { scheduler: self, allocated: BTreeMap::new() }
     }
 
     /// The quota of a caller by the configuration in force; nothing where it has none.
@@ -86,7 +86,7 @@
     }
 
     /// Tells which callers' share or quota a configuration changes.
-    pub(super) fn tell_callers(&mut self, fresh: &Config) {
+    pub(super) fn log_caller_changes(&mut self, fresh: &Config) {
         let known = self.config.clone();
         let before = |name| known.as_ref().and_then(|config| config.callers.get(name));
         for caller in fresh.callers.values().filter(|caller| before(&caller.name) != Some(caller)) {
@@ -98,17 +98,17 @@
     }
 
     /// Tells at most once a second that a caller's tasks wait for its quota.
-    pub(super) fn tell_at_quota(&mut self, now: Now, step: &WaitingStep) {
+    pub(super) fn log_at_quota(&mut self, now: Now, step: &WaitingStep) {
         let Some(charge) = &step.charge else { return };
-        let told = self.told_at_quota.get(&charge.caller);
-        if told.is_some_and(|at| now.time.since(*at) < LINE_INTERVAL) {
+        let logged = self.quota_logged.get(&charge.caller);
+        if logged.is_some_and(|at| now.time.since(*at) < LOG_INTERVAL) {
             return;
         }
         let caller = charge.caller.clone();
         let used = self.executors.usage().of(&caller);
         let quota = self.quota_of(&caller).unwrap_or_default();
         let version = self.config.as_ref().map_or(0, |config| config.version);
-        self.told_at_quota.insert(caller.clone(), now.time);
+        self.quota_logged.insert(caller.clone(), now.time);
         self.log("caller-at-quota", &caller, || {
             format!(
                 "used=[{}] quota=[{quota}] unanswered={} version={version} first={}",
--- a/crates/borageswitch_scheduler/src/reducer/recovery.rs
+++ b/crates/borageswitch_scheduler/src/reducer/recovery.rs
@@ -24,13 +24,13 @@
         advice::Advice,
         executors::{Executor, Held, Phase},
         failed_starts::FailedStarts,
+        free_capacity::FreeCapacityByPool,
+        gang_reservations::GangReservations,
         host_list::Fleet,
-        kept_room::KeptRoom,
         lending::Lending,
         outbox::Outbox,
-        places::reserved,
-        rooms::Rooms,
-        starting::Starting,
+        pending_starts::PendingStarts,
+        places::reserved_size,
         stragglers::Stragglers,
         suspects::Suspects,
         waiting::{Waiting, charge_of},
@@ -49,37 +49,37 @@
         config: Arc<Config>,
         registrations: Vec<Registration>,
     ) -> Scheduler {
-        let inherited_orders = ledger.host_orders.ages();
+        let inherited_host_orders = ledger.host_orders.ages();
         let mut scheduler = Scheduler {
             limits,
-            began: now.time,
+            took_over_at: now.time,
             ledger,
-            inherited_orders,
+            inherited_host_orders,
             config: Some(config),
             executors: registrations.into_iter().map(|r| Executor::new(r, now.time)).collect(),
-            rooms: Rooms::default(),
+            free_capacity: FreeCapacityByPool::default(),
             waiting: Waiting::default(),
-            lasting_missed: Default::default(),
+            lasting_unplaced: Default::default(),
             job_rates: Default::default(),
-            told_at_quota: Default::default(),
-            unlooked: Default::default(),
+            quota_logged: Default::default(),
+            poll_candidates: Default::default(),
             times: Default::default(),
             learned: Learned::default(),
             outbox: Outbox::new(next_append),
             advice: Advice::default(),
-            kept_room: KeptRoom::default(),
+            gang_reservations: GangReservations::default(),
             fleet: Fleet::default(),
-            away: Default::default(),
+            unavailable: Default::default(),
             waves: Waves::default(),
             lending: Lending::default(),
-            stirred: Default::default(),
-            touched: Default::default(),
-            ending: Default::default(),
+            dirty_pools: Default::default(),
+            maybe_ended: Default::default(),
+            ending_jobs: Default::default(),
             ended_executors: Vec::new(),
             suspects: Suspects::default(),
             failed_starts: FailedStarts::default(),
             stragglers: Stragglers::default(),
-            starting: Starting::default(),
+            pending_starts: PendingStarts::default(),
             last_sweep: Time::ZERO,
             last_slow_sweep: Time::ZERO,
             effects: Vec::new(),
@@ -90,7 +90,7 @@
         scheduler.inherit_ends();
         scheduler.renew_times(now);
         scheduler.inherit_runs(now);
-        scheduler.touched = scheduler.ledger.jobs.keys().cloned().collect();
+        scheduler.maybe_ended = scheduler.ledger.jobs.keys().cloned().collect();
         scheduler
     }
 
@@ -179,7 +179,7 @@
         let job = self.ledger.jobs.get(&task.job)?;
         let step = job.step(task.step)?;
         Some(Held {
-            size: reserved(step),
+            size: reserved_size(step),
             charge: charge_of(job, step),
             lasting: step.lasting,
             fills: step.fills,
--- a/crates/borageswitch_scheduler/src/reducer/registrations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/registrations.rs
@@ -56,17 +56,17 @@
     /// An executor is registered under the name of one that is known, as a later life.
     fn restarted(&mut self, now: Now, before: &ExecutorName, registration: Registration) {
         let next = registration.executor.clone();
-        self.stirred.insert(registration.pool.clone());
+        self.dirty_pools.insert(registration.pool.clone());
         self.end_life_before(now, &registration);
         self.log("executor-restarted", &next, || format!("pool={}", registration.pool));
         self.executors.insert(Executor::new(registration, now.time));
-        self.fleet.note_life(&next);
+        self.fleet.note_incarnation(&next);
         self.carry_over(now, before, &next);
     }
 
     fn seen_alive(&mut self, now: Now, registration: Registration) {
         let executor = registration.executor.clone();
-        self.stirred.insert(registration.pool.clone());
+        self.dirty_pools.insert(registration.pool.clone());
         self.end_life_before(now, &registration);
         match self.executors.get(&executor) {
             // A registration outlives its executor.
@@ -91,7 +91,7 @@
                     format!("pool={} draining={}", registration.pool, registration.draining)
                 });
                 self.executors.insert(Executor::new(registration, now.time));
-                self.fleet.note_life(&executor);
+                self.fleet.note_incarnation(&executor);
             }
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/pace.rs
+++ b/crates/borageswitch_scheduler/src/reducer/speed_limits.rs
@@ -14,11 +14,11 @@
 };
 
 /// The pace of a run that has just started, in percent.
-pub const FULL_PACE: u8 = 100;
+pub const FULL_SPEED: u8 = 100;
 
 /// Whom work that fills gaps may disturb on an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Served {
+enum ServingState {
     /// Nobody.
     Nobody,
     /// Tasks that have not begun to serve.
@@ -29,28 +29,30 @@
 
 impl Scheduler {
     /// Adapts the pace of whatever fills gaps on an executor that was just looked at.
-    pub(super) fn pace_neighbours(&mut self, executor: &ExecutorName) {
+    pub(super) fn adjust_speed_limits(&mut self, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        let served = served(known);
+        let served = serving_state(known);
         let recipient = known.recipient();
         let mut changed = Vec::new();
-        let fillers = known.runs.iter_mut().filter(|(_, h)| h.fills && h.phase == Phase::Active);
-        for (task, held) in fillers {
-            let Some(next) = next_pace(held, served).filter(|next| held.pace != Some(*next)) else {
+        let best_effort =
+            known.runs.iter_mut().filter(|(_, h)| h.fills && h.phase == Phase::Active);
+        for (task, held) in best_effort {
+            let Some(next) = next_speed_limit(held, served).filter(|next| held.pace != Some(*next))
+            else {
                 continue;
             };
             held.pace = Some(next);
             changed.push((task.clone(), held.run, next));
         }
-        for (task, run, pace) in changed {
+        for (task, run, limit) in changed {
             self.log("run-paced", &task, || {
-                format!("run={run} executor={executor} pace={pace} served={served:?}")
+                format!("run={run} executor={executor} pace={limit} served={served:?}")
             });
-            self.effects.push(Effect::Pace(recipient.clone(), task, run, pace));
+            self.effects.push(Effect::Pace(recipient.clone(), task, run, limit));
         }
     }
 
-    pub(super) fn pace_answered(
+    pub(super) fn speed_limit_answered(
         &mut self,
         executor: &ExecutorName,
         task: &TaskKey,
@@ -73,15 +75,17 @@
 ///
 /// A pace that is not known is ordered in any case: taken for full speed, a run that stands still
 /// would never be told to go on, and its owner would see it do nothing for ever.
-fn next_pace(held: &Held, served: Served) -> Option<u8> {
+fn next_speed_limit(held: &Held, served: ServingState) -> Option<u8> {
     match served {
-        Served::Nobody => Some(FULL_PACE),
-        Served::NotYet => None,
-        Served::Tail(percent) => Some(pacing::next_pace(held.pace.unwrap_or(FULL_PACE), percent)),
+        ServingState::Nobody => Some(FULL_SPEED),
+        ServingState::NotYet => None,
+        ServingState::Tail(percent) => {
+            Some(pacing::next_pace(held.pace.unwrap_or(FULL_SPEED), percent))
+        }
     }
 }
 
-fn served(known: &Executor) -> Served {
+fn serving_state(known: &Executor) -> ServingState {
     let serving = known.runs.values().filter(|held| !held.fills && held.target_tail.is_some());
     let (mut any, mut worst) = (false, None);
     for held in serving {
@@ -92,8 +96,8 @@
         }
     }
     match worst {
-        Some(percent) => Served::Tail(percent),
-        None if any => Served::NotYet,
-        None => Served::Nobody,
+        Some(percent) => ServingState::Tail(percent),
+        None if any => ServingState::NotYet,
+        None => ServingState::Nobody,
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -22,11 +22,11 @@
 
 /// How long an executor that refused something for want of room gets nothing new: about the time
 /// until its next report shows what it has.
-const FULL_PAUSE: Duration = Duration::from_millis(200);
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(200);
 /// How long an executor that called an order malformed gets nothing new.
 const MALFORMED_PAUSE: Duration = Duration::from_secs(2);
 /// An order to stop that got no answer is repeated after this time, longer than a call may take.
-const REPEAT_STOP: Duration = Duration::from_millis(600);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Scheduler {
     /// Sends a start whose assignment is stored, unless things have changed meanwhile.
@@ -44,8 +44,8 @@
         }
         // Its capacity may have shrunk since the run was placed.
         let fits = known.free_without(held).holds(&held.size);
-        let open = known.present && known.fenced && !known.registration.draining && fits;
-        let Some(order) = self.start_order(now, executor, task, run).filter(|_| open) else {
+        let accepts = known.present && known.fenced && !known.registration.draining && fits;
+        let Some(order) = self.start_order(now, executor, task, run).filter(|_| accepts) else {
             self.release(executor, task, "changed before the start");
             return;
         };
@@ -97,13 +97,13 @@
         clock_ms: Option<u64>,
         answer: StartAnswer,
     ) {
-        self.starting.answered(now.time, task, run, now.time.since(sent), answer);
-        self.stirred.extend(self.starting.take_held_back());
+        self.pending_starts.answered(now.time, task, run, now.time.since(sent), answer);
+        self.dirty_pools.extend(self.pending_starts.take_blocked_pools());
         let Some(known) = self.executors.get_mut(executor) else { return };
         if let Some(clock_ms) = clock_ms {
             if known.is_other_life(sent, clock_ms) {
                 // It may run there: it is looked for once that life is registered.
-                self.start_lost(now, executor, task);
+                self.start_unanswered(now, executor, task);
                 self.life_over(now, executor, Ending::OtherLifeAnswered);
                 return;
             }
@@ -121,18 +121,20 @@
         }
         match answer {
             StartAnswer::Started => self.run_confirmed(now, executor, task),
-            StartAnswer::Lost => self.start_lost(now, executor, task),
+            StartAnswer::Lost => self.start_unanswered(now, executor, task),
             StartAnswer::Fenced => self.effects.push(Effect::StepDown),
             StartAnswer::OtherLife => self.life_over(now, executor, Ending::OtherLifeAnswered),
-            StartAnswer::NoRoom => self.close(now, executor, task, FULL_PAUSE, "no room"),
+            StartAnswer::NoRoom => {
+                self.pause_executor(now, executor, task, NO_CAPACITY_PAUSE, "no room");
+            }
             StartAnswer::Malformed => {
-                self.close(now, executor, task, MALFORMED_PAUSE, "malformed");
+                self.pause_executor(now, executor, task, MALFORMED_PAUSE, "malformed");
             }
             StartAnswer::Unhealthy => {
                 if let Some(known) = self.executors.get_mut(executor) {
                     known.trust.failed(now.time);
                 }
-                self.close(now, executor, task, FULL_PAUSE, "unhealthy");
+                self.pause_executor(now, executor, task, NO_CAPACITY_PAUSE, "unhealthy");
             }
             StartAnswer::NotPermitted => {
                 self.advice.withdraw(&task.step_key(), executor);
@@ -163,7 +165,7 @@
         }
     }
 
-    fn start_lost(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    fn start_unanswered(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.looking.silent_since.get_or_insert(now.time);
         let Some(held) = known.runs.get_mut(task) else { return };
@@ -173,7 +175,7 @@
         }
     }
 
-    fn close(
+    fn pause_executor(
         &mut self,
         now: Now,
         executor: &ExecutorName,
@@ -197,8 +199,8 @@
             Phase::Sent | Phase::Active | Phase::Inherited | Phase::Unsure => {
                 held.phase = Phase::Stopping;
                 held.since = now.time;
-                if let Some(away) = self.away.get_mut(&task.step_key()) {
-                    away.insert(task.index);
+                if let Some(unavailable) = self.unavailable.get_mut(&task.step_key()) {
+                    unavailable.insert(task.index);
                 }
                 self.send_stop(now, executor, task);
             }
@@ -245,7 +247,8 @@
         for (executor, known) in self.executors.iter() {
             for (task, held) in &known.runs {
                 let wanted = matches!(held.phase, Phase::Stopping | Phase::Unsure);
-                let old = held.stop_sent.is_some_and(|at| now.time.since(at) >= REPEAT_STOP);
+                let old =
+                    held.stop_sent.is_some_and(|at| now.time.since(at) >= STOP_RETRY_INTERVAL);
                 if wanted && old && held.barred.is_none() {
                     due.push((executor.clone(), task.clone()));
                 }
@@ -257,7 +260,7 @@
     }
 
     /// Stops all runs of a job that has ended.
-    pub(super) fn stop_all_of(&mut self, now: Now, job: &JobName) {
+    pub(super) fn stop_runs_of(&mut self, now: Now, job: &JobName) {
         let runs: Vec<(ExecutorName, TaskKey)> = self.executors.runs_of(job).cloned().collect();
         for (executor, task) in runs {
             self.order_stop(now, &executor, &task);
@@ -265,13 +268,14 @@
     }
 
     /// Stops runs that are pointless now that another run of the task is done.
-    pub(super) fn stop_leftovers(&mut self, now: Now, ended: &TaskKey, how: EndKind) {
+    pub(super) fn stop_redundant_runs(&mut self, now: Now, ended: &TaskKey, how: EndKind) {
         if how != EndKind::Done {
             return;
         }
-        let left = self.executors.runs_of(&ended.job).filter(|(_, task)| task == ended);
-        let left: Vec<ExecutorName> = left.map(|(executor, _)| executor.clone()).collect();
-        for executor in left {
+        let redundant = self.executors.runs_of(&ended.job).filter(|(_, task)| task == ended);
+        let redundant: Vec<ExecutorName> =
+            redundant.map(|(executor, _)| executor.clone()).collect();
+        for executor in redundant {
             self.order_stop(now, &executor, ended);
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -31,33 +31,34 @@
 
 impl Scheduler {
     /// Stops runs that a fresh run elsewhere would overtake.
-    pub(super) fn give_up_stragglers(&mut self, now: Now) {
+    pub(super) fn stop_stragglers(&mut self, now: Now) {
         let mut found: Vec<(ExecutorName, TaskKey)> = Vec::new();
         for (executor, known) in self.executors.iter() {
             let fresh = known.clock.is_some_and(|c| now.time.since(c.received) < FRESH_REPORT);
             if !fresh {
                 continue;
             }
-            let slow = known.runs.iter().filter(|(task, held)| self.straggles(known, task, held));
+            let slow =
+                known.runs.iter().filter(|(task, held)| self.is_straggler(known, task, held));
             found.extend(slow.map(|(task, _)| (executor.clone(), task.clone())));
         }
         for (executor, task) in found {
             let pool = self.pool_of(&task.job).cloned();
             if pool.is_some_and(|pool| self.has_place(now, &pool, &executor, &task)) {
-                self.give_up(now, &executor, &task);
+                self.stop_straggler(now, &executor, &task);
             }
         }
     }
 
-    fn straggles(&self, known: &Executor, task: &TaskKey, held: &Held) -> bool {
+    fn is_straggler(&self, known: &Executor, task: &TaskKey, held: &Held) -> bool {
         let Some(job) = self.ledger.jobs.get(&task.job) else { return false };
         let Some(step) = job.step(task.step) else { return false };
         if held.phase != Phase::Active || step.gang {
             return false;
         }
         // Progress is as old as the report that told of it.
-        let told = known.clock.map_or(held.started, |clock| clock.received);
-        let elapsed = told.since(held.started);
+        let reported_at = known.clock.map_or(held.started, |clock| clock.received);
+        let elapsed = reported_at.since(held.started);
         if held.lasting {
             let given_up = self.stragglers.given_up(task);
             return held.percent < 100
@@ -70,7 +71,7 @@
         stragglers::gives_up(&ShortRun { elapsed, percent, expected, kept, given_up })
     }
 
-    fn give_up(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    fn stop_straggler(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.trust.failed(now.time);
         let Some(held) = known.runs.get(task) else { return };
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -142,7 +142,7 @@
     fn evidence(&self, now: Now, ended: &EndedExecutor, lost: &LostRun, share: f64) -> u32 {
         let site =
             Site { job: &lost.task.job, host: ended.host(), executors: self.executors.len() };
-        let rate = self.suspects.history.rate(now.time, self.began, &site);
+        let rate = self.suspects.history.rate(now.time, self.took_over_at, &site);
         blame::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
@@ -193,7 +193,7 @@
         if let Some(queue) = self.queue_of_job(&task.job) {
             self.effects.push(Effect::Count(Tally::GivenUp(queue)));
         }
-        self.touched.insert(task.job.clone());
+        self.maybe_ended.insert(task.job.clone());
         self.suspects.history.explain(&task.job);
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/view.rs
+++ b/crates/borageswitch_scheduler/src/reducer/view.rs
@@ -42,7 +42,7 @@
             if finished.queue != *queue {
                 return None;
             }
-            if self.ending.contains_key(job) {
+            if self.ending_jobs.contains_key(job) {
                 return Some(JobStatus::Running);
             }
             let given_up = self.ledger.given_up.get(job);
--- a/crates/borageswitch_scheduler/src/reducer/waiting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waiting.rs
@@ -17,15 +17,15 @@
     job::{Size, Step},
     ledger::job::{Job, StepState},
     policy::{last_chance, order::Urgency, quotas::Charge},
-    reducer::{Scheduler, places::reserved},
+    reducer::{Scheduler, places::reserved_size},
     task::{StepKey, TaskKey},
 };
 
 /// In so many sweeps all waiting jobs are looked at again: a quarter of a second, in which a job
 /// becomes late by less than what is known of its run time anyway.
-const SWEEPS_FOR_ALL: usize = 5;
+const SWEEPS_PER_REFRESH: usize = 5;
 /// The least that are looked at again in one sweep.
-const LEAST_A_SWEEP: usize = 50;
+const MIN_REFRESHED_PER_SWEEP: usize = 50;
 
 /// What of a step waits.
 #[derive(Clone, Debug)]
@@ -45,10 +45,10 @@
 }
 
 /// The waiting steps of a pool, most urgent first.
-pub(super) type Order = BTreeMap<(Urgency, StepKey), WaitingStep>;
+pub(super) type WaitingOrder = BTreeMap<(Urgency, StepKey), WaitingStep>;
 
 #[derive(Debug)]
-struct Listed {
+struct ListedJob {
     pool: PoolName,
     steps: Vec<(Urgency, StepKey)>,
 }
@@ -56,44 +56,44 @@
 /// The steps that have tasks waiting.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    orders: BTreeMap<PoolName, Order>,
-    listed: BTreeMap<JobName, Listed>,
+    orders: BTreeMap<PoolName, WaitingOrder>,
+    listed: BTreeMap<JobName, ListedJob>,
     /// Jobs to which something has happened.
     stale: BTreeSet<JobName>,
     /// The last job that was looked at again in turn.
-    turn: Option<JobName>,
+    last_refreshed: Option<JobName>,
 }
 
 impl Waiting {
     /// Something has happened to a job.
-    pub(super) fn note(&mut self, job: &JobName) {
+    pub(super) fn mark_stale(&mut self, job: &JobName) {
         if !self.stale.contains(job) {
             self.stale.insert(job.clone());
         }
     }
 
     /// Takes the steps of a pool, to be put back by [`Self::put_back`].
-    pub(super) fn take(&mut self, pool: &PoolName) -> Order {
+    pub(super) fn take(&mut self, pool: &PoolName) -> WaitingOrder {
         self.orders.get_mut(pool).map(std::mem::take).unwrap_or_default()
     }
 
-    pub(super) fn put_back(&mut self, pool: &PoolName, order: Order) {
+    pub(super) fn put_back(&mut self, pool: &PoolName, order: WaitingOrder) {
         if !order.is_empty() {
             self.orders.insert(pool.clone(), order);
         }
     }
 
     /// The jobs whose turn it is to be looked at again.
-    fn next_in_turn(&mut self) -> Vec<JobName> {
-        let count = (self.listed.len() / SWEEPS_FOR_ALL).max(LEAST_A_SWEEP);
-        let from = self.turn.take().map_or(Bound::Unbounded, Bound::Excluded);
+    fn next_to_refresh(&mut self) -> Vec<JobName> {
+        let count = (self.listed.len() / SWEEPS_PER_REFRESH).max(MIN_REFRESHED_PER_SWEEP);
+        let from = self.last_refreshed.take().map_or(Bound::Unbounded, Bound::Excluded);
         let jobs = self.listed.range((from, Bound::Unbounded)).take(count);
         let jobs: Vec<JobName> = jobs.map(|(job, _)| job.clone()).collect();
-        self.turn = jobs.last().filter(|_| jobs.len() == count).cloned();
+        self.last_refreshed = jobs.last().filter(|_| jobs.len() == count).cloned();
         jobs
     }
 
-    fn drop_job(&mut self, job: &JobName) {
+    fn remove_job(&mut self, job: &JobName) {
         let Some(listed) = self.listed.remove(job) else { return };
         let Some(order) = self.orders.get_mut(&listed.pool) else { return };
         for step in &listed.steps {
@@ -101,30 +101,30 @@
         }
     }
 
-    fn list(&mut self, job: &JobName, pool: PoolName, steps: Vec<WaitingStep>) {
+    fn insert_job(&mut self, job: &JobName, pool: PoolName, steps: Vec<WaitingStep>) {
         if steps.is_empty() {
             return;
         }
         let keys = steps.iter().map(|step| (step.urgency, step.key.clone())).collect();
         let order = self.orders.entry(pool.clone()).or_default();
         order.extend(steps.into_iter().map(|step| ((step.urgency, step.key.clone()), step)));
-        self.listed.insert(job.clone(), Listed { pool, steps: keys });
+        self.listed.insert(job.clone(), ListedJob { pool, steps: keys });
     }
 }
 
 impl Scheduler {
     /// Brings the order of waiting steps up to date.
-    pub(super) fn renew_waiting(&mut self, now: Now, sweep: bool) {
+    pub(super) fn update_waiting(&mut self, now: Now, sweep: bool) {
         if sweep {
-            let in_turn = self.waiting.next_in_turn();
-            self.waiting.stale.extend(in_turn);
+            let to_refresh = self.waiting.next_to_refresh();
+            self.waiting.stale.extend(to_refresh);
         }
         for job in std::mem::take(&mut self.waiting.stale) {
-            self.waiting.drop_job(&job);
+            self.waiting.remove_job(&job);
             let known = self.ledger.jobs.get(&job).zip(self.pool_of(&job).cloned());
             if let Some((known, pool)) = known {
                 let steps = self.waiting_steps(now, &job, known);
-                self.waiting.list(&job, pool, steps);
+                self.waiting.insert_job(&job, pool, steps);
             }
         }
     }
@@ -133,7 +133,7 @@
         let Some(times) = self.times.get(name) else { return Vec::new() };
         let mut steps = Vec::new();
         for &occurrence in job.progress.open.keys() {
-            let waiting = waiting_of(name, job, occurrence);
+            let waiting = waiting_by_step(name, job, occurrence);
             if waiting.is_empty() {
                 continue;
             }
@@ -142,7 +142,7 @@
             let due = last_chance::is_due(&view, now.time);
             steps.extend(waiting.into_iter().map(|(key, waiting)| {
                 let step = job.step(key.step);
-                let size = step.map(reserved).unwrap_or_default();
+                let size = step.map(reserved_size).unwrap_or_default();
                 let gang = step.is_some_and(|step| step.gang);
                 let charge = step.and_then(|step| charge_of(job, step));
                 WaitingStep { urgency, key, waiting, size, charge, gang, due }
@@ -173,14 +173,14 @@
     found
 }
 
-fn waiting_of(name: &JobName, job: &Job, occurrence: u32) -> Vec<(StepKey, Vec<u32>)> {
+fn waiting_by_step(name: &JobName, job: &Job, occurrence: u32) -> Vec<(StepKey, Vec<u32>)> {
     let Some(open) = job.progress.open.get(&occurrence) else { return Vec::new() };
     let mut waiting = Vec::new();
     for (number, (step, state)) in job.submission.spec.steps.iter().zip(&open.steps).enumerate() {
         if state.is_done() || !job.is_unblocked(open, step) {
             continue;
         }
-        let tasks = waiting_tasks(state);
+        let tasks = waiting_indices(state);
         if !tasks.is_empty() {
             let key = StepKey { job: name.clone(), occurrence, step: number as u16 };
             waiting.push((key, tasks));
@@ -191,11 +191,11 @@
 
 /// The tasks of a job that wait and could run.
 pub(super) fn waiting_tasks_of(name: &JobName, job: &Job) -> Vec<TaskKey> {
-    let steps = job.progress.open.keys().flat_map(|&open| waiting_of(name, job, open));
+    let steps = job.progress.open.keys().flat_map(|&open| waiting_by_step(name, job, open));
     steps.flat_map(|(key, tasks)| tasks.into_iter().map(move |index| key.task(index))).collect()
 }
 
-fn waiting_tasks(state: &StepState) -> Vec<u32> {
+fn waiting_indices(state: &StepState) -> Vec<u32> {
     let waiting = state.tasks.iter().enumerate().filter(|(_, task)| task.is_waiting());
     waiting.map(|(index, _)| index as u32).collect()
 }
--- a/crates/borageswitch_scheduler/src/reducer/waves.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waves.rs
@@ -64,23 +64,23 @@
         self.waves.open.insert(wave, request);
     }
 
-    pub(super) fn step_waves(&mut self, now: Now) {
-        if self.fleet.listed.is_none_or(|listed| listed < self.began) {
+    pub(super) fn advance_waves(&mut self, now: Now) {
+        if self.fleet.listed.is_none_or(|listed| listed < self.took_over_at) {
             return;
         }
         let waves: Vec<WaveRequest> = self.waves.open.values().cloned().collect();
         for wave in waves {
-            self.step_wave(now, &wave);
+            self.advance_wave(now, &wave);
         }
     }
 
-    fn step_wave(&mut self, now: Now, wave: &WaveRequest) {
+    fn advance_wave(&mut self, now: Now, wave: &WaveRequest) {
         let due = self.due_hosts(wave);
         if due.is_empty() {
             self.complete(wave.wave);
             return;
         }
-        let taken = self.taken_by(now, wave);
+        let taken = self.count_unavailable(now, wave);
         let free = (wave.max_down as usize).saturating_sub(taken);
         if free == 0 {
             return;
@@ -90,7 +90,7 @@
             .into_iter()
             // Emptied before it may be ordered, a host would stand idle for the rest of the pause.
             .filter(|host| {
-                !self.fleet.withdrawals.contains_key(host) && !self.is_paused(now.time, host)
+                !self.fleet.withdrawals.contains_key(host) && !self.is_order_paused(now.time, host)
             })
             .filter(|host| self.fleet.hosts[host].state == HostState::Up)
             .map(|host| (work.get(&self.fleet.hosts[&host].pool).copied().unwrap_or(0), host))
@@ -113,7 +113,7 @@
     /// How many hosts count as away for the wave: those that are, those that are about to be, and
     /// those that an order of an earlier leader may yet take away. Without the last, a new leader
     /// would send the next host while such an order is on its way, and one too many would be away.
-    fn taken_by(&self, now: Now, wave: &WaveRequest) -> usize {
+    fn count_unavailable(&self, now: Now, wave: &WaveRequest) -> usize {
         let begun = self.ledger.maintained.get(&wave.wave);
         let begun: BTreeSet<&HostName> = begun.into_iter().flatten().collect();
         let is_begun = |host: &HostName| begun.contains(host);
@@ -127,7 +127,7 @@
                 .hosts
                 .get(*host)
                 .is_some_and(|entry| entry.state == HostState::InMaintenance);
-            let ordered = self.is_paused(now.time, host) && !is_begun(host);
+            let ordered = self.is_order_paused(now.time, host) && !is_begun(host);
             chosen || away || ordered
         };
         wave.hosts.iter().filter(counts).count()
@@ -147,6 +147,6 @@
         self.waves.open.remove(&wave);
         self.log("wave-completed", wave, String::new);
         self.record(Record::WaveCompleted { wave });
-        self.outbox.then_report_wave(wave);
+        self.outbox.defer_wave_report(wave);
     }
 }
