--- a/crates/borageswitch_scheduler/src/reducer/clock.rs
+++ b/crates/borageswitch_scheduler/src/reducer/clock.rs
@@ -1,36 +1,37 @@
-//! When an executor's lease ends, by the leader's clock.
+//! Bounds on the expiry of an executor's lease, by the leader's clock.
 //!
-//! A lease is told as a time on the executor's own steady clock, which may be 2 % slow and has
-//! nothing in common with ours. Each answer carries that clock's reading, taken at some moment
-//! between the call's departure and the answer's arrival.
+//! A lease is given as a time on the executor's own monotonic clock, which may be 2 % slow and has
+//! no relation to the leader's. Each response carries a reading of that clock, taken at some moment
+//! between the departure of the call and the arrival of the response.
 
 use std::time::Duration;
 
 use borageswitch_types::Time;
 
-/// How slow an executor's clock may be, in thousandths; the platform promises 2 %.
+/// How slow an executor's clock may be, in thousandths; the platform guarantees 2 %.
 const MAX_DRIFT_PER_MILLE: u64 = 20;
-/// Added to every latest end: rounding to milliseconds and late timers on the executor's side.
+/// Added to each latest expiry to cover rounding to milliseconds and late timers on the executor.
 const TIMER_MARGIN: Duration = Duration::from_millis(150);
-/// How much lower than expected a reading of the same clock may be: answers overtake each other.
+/// How much lower than expected a reading of the same clock may be, as responses may arrive out of
+/// order.
 const REORDER_MARGIN: Duration = Duration::from_millis(200);
 
 /// A reading of an executor's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// When the answer with the reading arrived; the executor's clock was read before that.
+    /// When the response with the reading arrived; the reading was taken earlier.
     pub received: Time,
     /// The reading in milliseconds.
     pub clock_ms: u64,
 }
 
 impl ClockReading {
-    /// What the executor's clock shows now, at most a round trip behind.
+    /// An estimate of the executor's clock now, behind it by at most one round trip.
     pub fn estimate(&self, now: Time) -> u64 {
         self.clock_ms + now.since(self.received).as_millis() as u64
     }
 
-    /// The least that the clock showed when a call that left at `sent` was answered.
+    /// The lowest reading that the executor may have taken for a call sent at `sent`.
     pub fn least_reading(&self, sent: Time) -> u64 {
         let later = sent.since(self.received).as_millis() as u64;
         let earlier = (self.received.since(sent) + REORDER_MARGIN).as_millis() as u64;
@@ -39,8 +40,8 @@
 
     /// The latest moment at which the executor's clock reaches `until_ms`.
     ///
-    /// A task may be started elsewhere only after that: on an executor that cannot be reached but
-    /// lives, it runs until then, and callers would see its work done twice.
+    /// A task must not be started elsewhere before that moment: an executor that is alive but
+    /// unreachable runs the task until then, and callers would see its work done twice.
     pub fn latest_expiry(&self, until_ms: u64) -> Time {
         let left = until_ms.saturating_sub(self.clock_ms);
         let slow = left + left * MAX_DRIFT_PER_MILLE / (1_000 - MAX_DRIFT_PER_MILLE) + 1;
--- a/crates/borageswitch_scheduler/src/reducer/draining.rs
+++ b/crates/borageswitch_scheduler/src/reducer/draining.rs
@@ -1,7 +1,8 @@
-//! Hosts are emptied before an order ends what runs there.
+//! Drains hosts before an order ends what runs there.
 //!
-//! Nothing new is placed on such a host, its short runs end by themselves, and its lasting ones move
-//! as their steps allow: so many of a step may be away at once through planned work.
+//! Nothing new is placed on a draining host, its short runs end by themselves, and its lasting runs
+//! move as far as their steps permit: each limits how many of its tasks may be unavailable at once
+//! through planned work.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,8 +24,9 @@
     task::{StepKey, TaskKey},
 };
 
-/// An executor that has said nothing for so long may have ended: what it runs is not counted on
-/// when another task of the same step is to be interrupted. Looks are answered within a second.
+/// An executor without contact for this long may have ended. What it runs does not count as
+/// available when another task of the same step is to be interrupted. Polls are answered within a
+/// second.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(2_500);
 
 impl Scheduler {
@@ -34,11 +36,11 @@
             .is_none_or(|known| known.runs.is_empty() && known.acknowledged >= known.taken_end)
     }
 
-    /// Closes an executor and moves its lasting runs away as their steps allow.
+    /// Closes an executor to new work and moves its lasting runs away as their steps permit.
     ///
-    /// A run that has nowhere else to go stays until all others have ended, and is then away only
-    /// for as long as the order takes: stopped first, its users would wait for the slowest of its
-    /// neighbours as well.
+    /// A run that has no other place stays until all others have ended, and is then unavailable
+    /// only for the duration of the order. If it were stopped first, its users would also wait for
+    /// the slowest of the other runs.
     pub(super) fn drain_executor(&mut self, now: Now, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.emptying = true;
@@ -64,10 +66,10 @@
         }
     }
 
-    /// Whether lasting tasks of one host may be away together.
+    /// Whether the lasting tasks of one host may be unavailable together.
     ///
-    /// Stopped although its siblings on the same host may not follow, a task that has nowhere else
-    /// to go would wait for ever: the host takes nothing new, and is never empty.
+    /// A task with no other place must not be stopped if others on the same host may not follow: it
+    /// would wait forever, as the host takes nothing new and is never drained.
     fn may_interrupt_all(&self, tasks: &[TaskKey]) -> bool {
         tasks.iter().all(|task| {
             let together = tasks.iter().filter(|t| t.step_key() == task.step_key()).count();
@@ -75,7 +77,7 @@
         })
     }
 
-    /// The lasting tasks of a pool on hosts that are being emptied, which cannot leave together.
+    /// The lasting tasks of a pool that cannot leave their draining hosts together.
     pub(super) fn undrainable_tasks(&self, pool: &PoolName) -> Vec<TaskKey> {
         let mut stuck = Vec::new();
         for host in self.fleet.withdrawals.keys() {
@@ -93,7 +95,7 @@
         stuck
     }
 
-    /// Whether a task would find a place on another executor of its pool at this moment.
+    /// Whether another executor of the pool has a place for a task now.
     pub(super) fn has_place(
         &self,
         now: Now,
@@ -114,10 +116,10 @@
         })
     }
 
-    /// Notes which tasks of each lasting step are away.
+    /// Updates which tasks of each lasting step are unavailable.
     ///
-    /// Hundreds of hosts are emptied at once in a wave. Counted for each task of each of them, the
-    /// siblings that are away would take most of a core, and hardly anything would be started.
+    /// A wave drains hundreds of hosts at once. Counting the unavailable siblings for each task on
+    /// each of them would take most of a core, and hardly anything would be started.
     pub(super) fn update_unavailable(&mut self, now: Now) {
         let taken = self.executors_with_pending_orders(now.time);
         let mut unavailable = BTreeMap::new();
@@ -135,12 +137,13 @@
         self.unavailable = unavailable;
     }
 
-    /// Whether a lasting task may be away for a moment: so many of its step may be at once.
+    /// Whether the limit of its step permits a lasting task to be unavailable for a moment.
     fn may_interrupt(&self, task: &TaskKey) -> bool {
         self.may_interrupt_with(task, 0)
     }
 
-    /// Whether a lasting task may be away together with so many others of its step that are at work.
+    /// Whether a lasting task may be unavailable together with `others` other tasks of its step
+    /// that are at work.
     fn may_interrupt_with(&self, task: &TaskKey, others: usize) -> bool {
         let Some(job) = self.ledger.jobs.get(&task.job) else { return true };
         let Some(step) = job.step(task.step) else { return true };
@@ -149,16 +152,16 @@
         unavailable.iter().filter(|&&index| index != task.index).count() + others < most as usize
     }
 
-    /// Executors whose hosts an order of an earlier leader may be about to take away. Its answer never
-    /// came to this leader, and what they last said is from before it: counted on, a task there and
-    /// the one that is interrupted beside it would both be away.
+    /// Executors whose hosts an earlier leader's order may be about to take away. This leader never
+    /// got the response to that order, and their last reports may predate it. If a task there
+    /// counted as available, it and the one interrupted beside it could both be unavailable.
     fn executors_with_pending_orders(&self, now: Time) -> BTreeSet<&ExecutorName> {
         let paused =
             self.inherited_host_orders.keys().filter(|host| self.is_order_paused(now, host));
         paused.filter_map(|host| self.fleet.hosts.get(host)?.executor.as_ref()).collect()
     }
 
-    /// Whether a task is known to do its work: its executor has said so not long ago.
+    /// Whether a task is known to be at work from a recent report of its executor.
     fn is_at_work(&self, now: Time, task: &TaskKey, taken: &BTreeSet<&ExecutorName>) -> bool {
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
         let executor = assigned.and_then(|assigned| self.executors.get(&assigned.executor));
--- a/crates/borageswitch_scheduler/src/reducer/free_capacity.rs
+++ b/crates/borageswitch_scheduler/src/reducer/free_capacity.rs
@@ -1,4 +1,4 @@
-//! What the open executors of each pool have left.
+//! Free capacity of the open executors of each pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,24 +6,24 @@
 
 use crate::{event::Now, job::Size, reducer::Scheduler};
 
-/// What is left on open executors.
+/// Free capacity of the open executors of one pool.
 pub(super) type FreeCapacity = BTreeMap<ExecutorName, Size>;
 
-/// What is left in each pool.
+/// Free capacity of all pools.
 #[derive(Debug, Default)]
 pub struct FreeCapacityByPool {
     by_pool: BTreeMap<PoolName, FreeCapacity>,
-    /// Executors that will be open again after some time, though nothing happens to them.
+    /// Executors that reopen after some time without an event.
     resting: BTreeSet<ExecutorName>,
 }
 
 impl FreeCapacityByPool {
-    /// Takes the room of a pool, to be put back by [`Self::put_back`].
+    /// Takes the free capacity of a pool; [`Self::put_back`] returns it.
     pub(super) fn take(&mut self, pool: &PoolName) -> FreeCapacity {
         self.by_pool.get_mut(pool).map(std::mem::take).unwrap_or_default()
     }
 
-    /// The room of a pool.
+    /// The free capacity of a pool's open executors.
     pub(super) fn of(&self, pool: &PoolName) -> impl Iterator<Item = (&ExecutorName, &Size)> {
         self.by_pool.get(pool).into_iter().flatten()
     }
@@ -34,7 +34,7 @@
 }
 
 impl Scheduler {
-    /// Takes in what has changed on executors; in a sweep also what the time alone has changed.
+    /// Updates the executors that have changed and, in a sweep, those that reopen with time.
     pub(super) fn update_free_capacity(&mut self, now: Now, sweep: bool) {
         for (pool, executor) in self.executors.take_departed() {
             if let Some(available) = self.free_capacity.by_pool.get_mut(&pool) {
--- a/crates/borageswitch_scheduler/src/reducer/gang_reservations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gang_reservations.rs
@@ -1,7 +1,7 @@
-//! Room is kept for a gang that has waited; which hosts, [`crate::policy::gangs`] decides.
+//! Reserves capacity for gangs that have waited, as decided by [`crate::policy::gangs`].
 //!
-//! A pool keeps room for one gang at a time, and hosts are fetched for one gang of the whole site
-//! at a time: two that each had half of what they need would stop each other for ever.
+//! A pool reserves capacity for one gang at a time, and hosts are fetched for one gang of the whole
+//! site at a time: two gangs that each held half of what they need would block each other forever.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,15 +30,15 @@
     task::{StepKey, TaskKey},
 };
 
-/// The shortest time between two lines about what a pool's waiting gang lacks.
+/// The minimum interval between two log lines about a pool's waiting gang.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For so many gangs of a pool, the most urgent first, hosts are looked for in such an interval. To
-/// look costs a walk over the pool's hosts, and what is found lasts for about a second.
+/// The maximum number of gangs of a pool, most urgent first, for which hosts are searched in one
+/// window. A search visits all hosts of the pool, and its result is valid for about a second.
 const MAX_ATTEMPTS: u32 = 4;
 const ATTEMPT_WINDOW: Duration = Duration::from_millis(100);
 
-/// The hosts that are kept for a gang.
+/// The executors that are reserved for a gang.
 #[derive(Debug)]
 struct Reservation {
     step: StepKey,
@@ -54,15 +54,15 @@
     since: Time,
 }
 
-/// The gangs that wait, and what is done for them.
+/// The waiting gangs, and the capacity reserved or fetched for them.
 #[derive(Debug, Default)]
 pub struct GangReservations {
-    /// Since when a gang has found no room.
+    /// Since when a gang has found no capacity.
     unplaced_since: BTreeMap<StepKey, Time>,
     by_pool: BTreeMap<PoolName, Reservation>,
     fetch: Option<GangFetch>,
     logged: BTreeMap<PoolName, Time>,
-    /// For how many gangs of a pool hosts were looked for since that moment.
+    /// The start of the current window and the number of searches in it.
     attempts: BTreeMap<PoolName, (Time, u32)>,
 }
 
@@ -82,7 +82,8 @@
 }
 
 impl Scheduler {
-    /// Drops what is kept for gangs that wait no more, or on hosts that cannot take them any more.
+    /// Drops a reservation that has expired, whose gang no longer waits, or whose executors no
+    /// longer take work.
     pub(super) fn update_reservation(&mut self, now: Now, pool: &PoolName, order: &WaitingOrder) {
         let Some(reservation) = self.gang_reservations.by_pool.get(pool) else { return };
         let waits = order.values().any(|step| step.key == reservation.step);
@@ -91,7 +92,7 @@
         };
         let expired = now.time.since(reservation.since) >= gangs::KEPT_FOR;
         if expired {
-            // Others have their turn before room is kept for it again.
+            // Other gangs go first before capacity is reserved for this one again.
             self.gang_reservations.unplaced_since.insert(reservation.step.clone(), now.time);
         }
         if expired || !waits || !reservation.executors.iter().all(usable) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes the room that is kept for a gang out of what all others may use.
+    /// Removes the reserved capacity from what all others may use, and returns it.
     pub(super) fn take_reserved(
         &self,
         pool: &PoolName,
@@ -115,12 +116,12 @@
             .collect()
     }
 
-    /// Whether room of a pool is kept for this step.
+    /// Whether capacity of a pool is reserved for this step.
     pub(super) fn has_reservation(&self, pool: &PoolName, step: &StepKey) -> bool {
         self.gang_reservations.is_reserved_for(pool, step)
     }
 
-    /// A gang has started.
+    /// Drops the state of a gang that was placed.
     pub(super) fn gang_placed(&mut self, pool: &PoolName, step: &StepKey) {
         self.gang_reservations.unplaced_since.remove(step);
         if self.gang_reservations.is_reserved_for(pool, step) {
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A gang has found no room: hosts are kept for it once it has waited, or fetched if its pool
-    /// has too few.
+    /// Handles a gang that found no capacity: reserves executors for it once it has waited, or
+    /// fetches hosts if its pool has too few.
     pub(super) fn gang_unplaced(&mut self, now: Now, pool: &PoolName, key: &StepKey) {
         let since = *self.gang_reservations.unplaced_since.entry(key.clone()).or_insert(now.time);
         if now.time.since(since) < gangs::PATIENCE
@@ -164,7 +165,7 @@
         self.gang_reservations.by_pool.insert(pool.clone(), reservation);
     }
 
-    /// Says what a gang lacks, so that an operator finds out why its job does not start.
+    /// Logs what a gang lacks, so that operators see why its job does not start.
     fn log_lack(
         &mut self,
         now: Now,
@@ -231,7 +232,7 @@
         short.map(|(task, held)| self.remaining_time(now, task, held)).max().unwrap_or_default()
     }
 
-    /// How long a run will go on: by its progress, or by what such runs take.
+    /// The remaining run time, from the run's progress or from the usual duration of such runs.
     fn remaining_time(&self, now: Now, task: &TaskKey, held: &Held) -> Duration {
         let elapsed = now.time.since(held.started);
         if held.percent > 0 {
@@ -246,7 +247,7 @@
         expected.unwrap_or_default().saturating_sub(elapsed)
     }
 
-    /// The members of the gang for which a pool is to get hosts.
+    /// The members of the gang for which hosts are fetched into a pool.
     pub(super) fn gang_seekers(&self, pool: &PoolName) -> Vec<Seeker<StepKey>> {
         let Some(fetch) = self.gang_reservations.fetch.as_ref().filter(|f| f.pool == *pool) else {
             return Vec::new();
@@ -262,7 +263,7 @@
         vec![member; step.count as usize]
     }
 
-    /// Whether an executor without work is to stay where it is, as a gang waits for it.
+    /// Whether an idle executor must stay in its pool because a gang waits for it.
     pub(super) fn is_needed_by_gang(&self, pool: &PoolName, executor: &ExecutorName) -> bool {
         let reservation = self.gang_reservations.by_pool.get(pool);
         let fetch = self.gang_reservations.fetch.as_ref().filter(|f| f.pool == *pool);
@@ -276,7 +277,7 @@
         step.zip(known).is_some_and(|(step, known)| fits_labels(step, known))
     }
 
-    /// Drops what was noted of gangs whose jobs have ended.
+    /// Drops the state of gangs whose jobs have ended.
     pub(super) fn forget_gangs(&mut self) {
         let jobs = &self.ledger.jobs;
         self.gang_reservations.unplaced_since.retain(|step, _| jobs.contains_key(&step.job));
@@ -290,7 +291,7 @@
     }
 }
 
-/// What an executor has left once all that ends by itself has ended.
+/// The capacity of an executor once all runs that end by themselves have ended.
 fn capacity_without_lasting(known: &Executor) -> Size {
     let mut free = known.registration.capacity;
     for held in known.runs.values().filter(|held| held.lasting) {
--- a/crates/borageswitch_scheduler/src/reducer/gangs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gangs.rs
@@ -1,7 +1,8 @@
-//! Tasks that work only together find hosts together.
+//! Places the members of a gang together.
 //!
-//! Members of which only some have found room hold it without working and give up after a few
-//! seconds, so a gang is placed whole or not at all, and all orders leave in the same moment.
+//! Members that start without the others occupy capacity without working and give up after a few
+//! seconds. A gang is therefore placed as a whole or not at all, and all its starts are sent at the
+//! same moment.
 
 use borageswitch_types::names::{ExecutorName, PoolName, RackName};
 
@@ -16,7 +17,7 @@
 };
 
 impl Scheduler {
-    /// Places a gang whole, or not at all. Gives whether it found room.
+    /// Places all members of a gang or none. Returns whether the gang found capacity.
     pub(super) fn place_gang(
         &mut self,
         now: Now,
@@ -25,7 +26,7 @@
         step: &Step,
         available: &mut FreeCapacity,
     ) -> bool {
-        // A member was not started, or has ended: the others can only wait in vain.
+        // A member was not started or has ended, and the others would wait for it in vain.
         if self.stop_partial_gang(now, waiting) {
             return true;
         }
@@ -47,7 +48,7 @@
         true
     }
 
-    /// The room without other suspects, if a member of a gang has to run apart from them.
+    /// The capacity on hosts without other suspects, if a member of the gang must be isolated.
     fn capacity_without_suspects(
         &self,
         waiting: &WaitingStep,
@@ -59,8 +60,8 @@
         isolated.then(|| available.iter().filter(without).map(clone_entry).collect())
     }
 
-    /// There is no room for a member of a gang for certain. Members that run without the others are
-    /// stopped all the same: they work only together.
+    /// Handles a gang for whose member size no executor has capacity. Members that run without the
+    /// others are stopped here as well, as they work only together.
     pub(super) fn gang_without_capacity(
         &mut self,
         now: Now,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Stops the members of a gang that run without the others. Gives whether there are such.
+    /// Stops the members of a gang that run without the others. Returns whether the gang is
+    /// incomplete.
     pub(super) fn stop_partial_gang(&mut self, now: Now, waiting: &WaitingStep) -> bool {
         let job = self.ledger.jobs.get(&waiting.key.job);
         let step = job.and_then(|job| job.step(waiting.key.step));
@@ -84,9 +86,9 @@
         incomplete
     }
 
-    /// A place for each member, and the room that is left then.
+    /// An executor for each member, and the capacity that then remains.
     ///
-    /// One rack is tried before all: there a gang that talks much is faster.
+    /// Single racks are tried first, as a gang that communicates much is faster within one.
     fn places_for_gang(
         &self,
         now: Now,
@@ -153,7 +155,7 @@
         best.map(|(executor, _)| executor.clone())
     }
 
-    /// All members carry the same number, higher than any that one of them has had.
+    /// All members get the same run number, higher than that of any earlier run of a member.
     fn next_gang_run(&self, waiting: &WaitingStep) -> u32 {
         let last = waiting.waiting.iter().filter_map(|&index| {
             self.ledger.task(&waiting.key.task(index)).map(|state| state.last_run)
--- a/crates/borageswitch_scheduler/src/reducer/host_list.rs
+++ b/crates/borageswitch_scheduler/src/reducer/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, and the executors that it names no more.
+//! The platform's list of hosts, and the end of executors that it no longer names.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,20 +23,20 @@
     },
 };
 
-/// How often the hosts are listed while something is going on with them.
+/// How often the hosts are listed while waves or withdrawals are in progress.
 const LIST_INTERVAL: Duration = Duration::from_millis(700);
-/// How often they are listed otherwise.
+/// How often the hosts are listed otherwise.
 const IDLE_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
-/// A list that has not come after this time is asked for again.
+/// A list that has not arrived after this time is requested again.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// An executor that the platform's list does not name has ended, if it was known for so long
-/// before the list was asked for: a new one appears there a moment after it has registered.
+/// How long before the request of a list an executor must have been known for its absence from the
+/// list to prove that it has ended: a new one appears there a moment after it has registered.
 const LIST_LAG: Duration = Duration::from_millis(1_500);
 
-/// The executors of one list of hosts, by their registered names.
+/// The executors in one list of hosts, by their registered names.
 #[derive(Debug, Default)]
 struct Listing {
-    /// When the call that brought it left.
+    /// When the request for the list was sent.
     at: Option<Time>,
     host_of: BTreeMap<ExecutorName, HostName>,
 }
@@ -47,29 +47,29 @@
     }
 }
 
-/// The hosts as they are known.
+/// The hosts as the leader knows them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The platform's list.
     pub hosts: BTreeMap<HostName, HostEntry>,
-    /// When the call that brought it left.
+    /// When the request for the list was sent.
     pub listed: Option<Time>,
     /// The hosts that are taken out of service.
     pub withdrawals: BTreeMap<HostName, Withdrawal>,
     listing: Listing,
     previous_listing: Listing,
     requested_at: Option<Time>,
-    /// Kinds of which there are few.
+    /// Kinds of hosts of which there are few.
     scarce: BTreeSet<Arc<str>>,
 }
 
 impl Fleet {
-    /// The host that has an executor by the platform's list, or had it by the one before.
+    /// The host of an executor according to the last list, or else to the one before.
     pub(super) fn host_of(&self, executor: &ExecutorName) -> Option<&HostName> {
         self.listing_with(executor)?.host_of(executor)
     }
 
-    /// When the platform listed an executor last.
+    /// When the platform last listed an executor.
     pub(super) fn last_listed(&self, executor: &ExecutorName) -> Option<Time> {
         self.listing_with(executor)?.at
     }
@@ -79,7 +79,7 @@
         [&self.listing, &self.previous_listing].into_iter().find(has)
     }
 
-    /// Takes in a list that was asked for at that time.
+    /// Applies a list that was requested at `asked`.
     fn apply_list(&mut self, asked: Time, hosts: Vec<HostEntry>) {
         self.listed = Some(asked);
         self.hosts = hosts.into_iter().map(|entry| (entry.host.clone(), entry)).collect();
@@ -91,7 +91,7 @@
         self.update_scarce();
     }
 
-    /// An executor has begun a life; the platform lists hosts with registered names.
+    /// Records a new incarnation of an executor; the platform lists hosts with registered names.
     pub(super) fn note_incarnation(&mut self, executor: &ExecutorName) {
         let Some(host) = self.listing.host_of(executor) else { return };
         let Some(entry) = self.hosts.get_mut(host) else { return };
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What has become of the host of an executor that is listed no more, or has started again.
+    /// What happened to the host of an executor that is no longer listed or has restarted.
     pub(super) fn host_outcome(&self, executor: &ExecutorName) -> HostFate {
         let Some(host) = self.host_of(executor).cloned() else { return HostFate::Unknown };
         if self.withdrawals.get(&host).is_some_and(Withdrawal::is_ordered) {
@@ -114,12 +114,12 @@
         }
     }
 
-    /// Whether hosts with these labels are of a kind of which there are few.
+    /// Whether hosts with these labels are of a scarce kind.
     pub(super) fn is_scarce(&self, labels: &[Arc<str>]) -> bool {
         labels.first().is_some_and(|kind| self.scarce.contains(kind))
     }
 
-    /// A kind is scarce with less than half of its even share of the hosts.
+    /// A kind is scarce if it has less than half of its even share of the hosts.
     fn update_scarce(&mut self) {
         let mut kinds: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
         for kind in self.hosts.values().filter_map(|entry| entry.labels.first()) {
@@ -160,7 +160,7 @@
         self.return_to_service(asked);
     }
 
-    /// Executors that no host has any more have ended: what they ran need not wait for their lease.
+    /// Ends executors that no host has any more, so that their runs need not wait for their leases.
     fn end_unlisted(&mut self, now: Now, asked: Time) {
         let listed = &self.fleet.listing;
         let over: Vec<ExecutorName> = self
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -1,7 +1,7 @@
-//! Hosts are emptied and then get their orders.
+//! Drains hosts, then sends the platform orders for them.
 //!
-//! An order ends everything that runs on its host, so a host is emptied first: nothing new is
-//! placed on it, short runs end by themselves, lasting ones move one after the other.
+//! An order ends everything that runs on its host, so the host is drained first: nothing new is
+//! placed on it, short runs end by themselves, and lasting runs move one after the other.
 
 use std::time::Duration;
 
@@ -18,16 +18,17 @@
     reducer::{Scheduler, crashes::Ending},
 };
 
-/// How long after an order without an answer, or one that was refused for the moment, it is given
-/// again; the pause doubles with each order after the second.
+/// The delay before an order that got no response, or was temporarily rejected, is repeated; it
+/// doubles with each order after the second.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// The longest pause between two orders for a host: a platform that is back is used soon after.
+/// The maximum delay between two orders for a host, so that a platform that has recovered is used
+/// soon.
 const MAX_ORDER_RETRY_DELAY: Duration = Duration::from_millis(4_000);
-/// A host that has not come back from a move after this time, many times what a move takes, is not
-/// counted on any more.
+/// The time after which a host that has not returned from a move is no longer expected; many times
+/// the duration of a move.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a host is emptied for.
+/// Why a host is drained. Operators see the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Maintenance as part of a wave.
@@ -36,24 +37,25 @@
     Move(PoolName),
 }
 
-/// How far it is.
+/// The progress of a withdrawal. Operators see the names of variants and fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its runs end or move away. No order is given before this time.
+    /// Its runs end or move away. No order is sent before `not_before`.
     Emptying {
-        /// The platform has called the host busy; until then it would say so again.
+        /// When the next order may be sent: the platform has reported the host as busy, and would
+        /// do so again before.
         not_before: Time,
     },
-    /// The order was given, last at this time.
+    /// An order was recorded or sent.
     Ordered {
-        /// When.
+        /// When the order was last recorded, sent, or answered with a request to retry.
         at: Time,
-        /// Nothing is on its way: the answer said to try again, or there was none.
+        /// No order is in flight: the response asked for a retry, or there was none.
         answered: bool,
     },
     /// The platform has begun; the host is away.
     Away {
-        /// When the answer came.
+        /// When the response arrived.
         since: Time,
     },
 }
@@ -61,23 +63,23 @@
 /// A host that is taken out of service for a while.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Withdrawal {
-    /// What for.
+    /// Why the host is withdrawn.
     pub purpose: Purpose,
-    /// How far it is.
+    /// The progress of the withdrawal.
     pub stage: Stage,
-    /// The executor that was emptied for the order.
+    /// The executor that was drained for the order.
     pub drained: Option<ExecutorName>,
-    /// How many orders in a row have come to nothing.
+    /// The number of consecutive orders without effect.
     pub failed: u32,
 }
 
 impl Withdrawal {
-    /// The pause before the next order.
+    /// The delay before the next order.
     fn retry_delay(&self) -> Duration {
         (ORDER_RETRY_DELAY * (1 << self.failed.saturating_sub(2).min(3))).min(MAX_ORDER_RETRY_DELAY)
     }
 
-    /// Whether an order for the host has left, answered or not.
+    /// Whether an order for the host was recorded or sent, whether or not it was answered.
     pub(super) fn is_ordered(&self) -> bool {
         !matches!(self.stage, Stage::Emptying { .. })
     }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Hosts that were away and are listed as up again are in service.
+    /// Ends the withdrawal of hosts that were away and are listed as up again.
     pub(super) fn return_to_service(&mut self, listed: Time) {
         let hosts = &self.fleet.hosts;
         let returned = |host: &HostName, withdrawal: &Withdrawal| {
@@ -104,7 +106,7 @@
             match withdrawal.stage {
                 Stage::Emptying { .. } => false,
                 Stage::Away { since } => up && listed > since,
-                // The answer was lost, and the host is where it was to go.
+                // The response was lost, and the host is in the pool that it was to move to.
                 Stage::Ordered { at, answered } => {
                     let there =
                         |entry: &HostEntry| withdrawal.purpose == Purpose::Move(entry.pool.clone());
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Begins to empty a host.
+    /// Begins to drain a host.
     pub(super) fn withdraw(&mut self, now: Now, host: &HostName, purpose: Purpose) {
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         self.log("host-emptied", host, || {
@@ -161,7 +163,7 @@
                 if entry.state != HostState::Up {
                     return;
                 }
-                // A host that is off has nothing to be emptied of.
+                // A host that is off needs no drain.
                 let executor = entry.executor.clone();
                 if let Some(executor) = &executor {
                     self.drain_executor(now, executor);
@@ -174,9 +176,9 @@
         }
     }
 
-    /// Gives an order once more. Where another executor has come meanwhile, by the order itself or
-    /// after a crash, that one is emptied first: it takes tasks as any other, and the order would
-    /// end them.
+    /// Repeats an order. If the host has a new executor meanwhile, because of the order itself or
+    /// after a crash, that executor is drained first: it takes tasks like any other, and the order
+    /// would end them.
     fn repeat_order(&mut self, now: Now, host: &HostName) {
         let current = self.fleet.hosts.get(host).and_then(|entry| entry.executor.as_ref());
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Has an order stored as given; it leaves after that, so that whoever leads next knows of it.
+    /// Records an order for a host; it is sent once stored, so that the next leader knows of it.
     fn record_host_order(&mut self, now: Now, host: &HostName) {
         if self.is_order_paused(now.time, host) || !self.may_call_hosts(now.time) {
             return;
@@ -209,15 +211,15 @@
         self.effects.push(Effect::Host(host.clone(), order));
     }
 
-    /// Whether an earlier leader has ordered a host about so lately that its orders may still be on
-    /// their way. Where the platform does not check tokens, an order of ours would cross them.
+    /// Whether an earlier leader sent orders for a host so recently that they may still be in
+    /// flight. Where the platform does not check fencing tokens, a new order could cross with them.
     pub(super) fn is_order_paused(&self, now: Time, host: &HostName) -> bool {
         self.inherited_host_orders
             .get(host)
             .is_some_and(|age| *age + now.since(self.took_over_at) < self.limits.host_order_pause)
     }
 
-    /// How long this leader has led, in milliseconds.
+    /// How long this leader has been leading, in milliseconds.
     pub(super) fn led_millis(&self, now: Time) -> u64 {
         now.since(self.took_over_at).as_millis() as u64
     }
@@ -237,8 +239,9 @@
                 if let Purpose::Maintain(wave) = purpose {
                     self.record(Record::Maintained { wave, host: host.clone() });
                 }
-                // Not whichever executor the host has now: after an answer that was lost, that is
-                // the one that came with the order. Taken for ended, its tasks would run twice.
+                // This is not necessarily the host's current executor: after a lost response, that
+                // is the one that came with the order. If it were taken for ended, its tasks would
+                // run twice.
                 if let Some(executor) = drained {
                     self.life_over(now, &executor, Ending::HostTaken);
                 }
@@ -263,7 +266,7 @@
         self.log("host-order", host, || format!("purpose={purpose:?} answer={answer}"));
     }
 
-    /// A host that was chosen stays in service after all.
+    /// Cancels a withdrawal; the host stays in service.
     fn cancel_withdrawal(&mut self, host: &HostName) {
         self.fleet.withdrawals.remove(host);
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
--- a/crates/borageswitch_scheduler/src/reducer/lasting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lasting.rs
@@ -1,4 +1,4 @@
-//! Lasting tasks that have no place in their pool; the decision is in [`crate::policy::lasting`].
+//! Lasting tasks for which their pool has no capacity, as decided by [`crate::policy::lasting`].
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,8 +13,8 @@
 };
 
 impl Scheduler {
-    /// The hosts that a pool's lasting tasks need besides its members: those that wait, and those
-    /// that cannot leave a host that is being emptied.
+    /// The hosts that a pool's lasting tasks need besides its members, for waiting tasks and for
+    /// those that cannot leave a host that is draining.
     pub(super) fn extra_hosts_for_lasting(
         &self,
         pool: &PoolName,
@@ -51,7 +51,7 @@
     fn lasting_seekers(&self, pool: &PoolName) -> Vec<Seeker<StepKey>> {
         let mut tasks = self.undrainable_tasks(pool);
         for (name, job) in &self.ledger.jobs {
-            // Few jobs last, and to tell so is cheaper than to find a job's pool.
+            // Few jobs are lasting, and this check is cheaper than the lookup of a job's pool.
             if job.submission.spec.is_lasting() && self.pool_of(name) == Some(pool) {
                 tasks.extend(waiting_tasks_of(name, job));
             }
@@ -68,11 +68,13 @@
         tasks.into_iter().filter_map(seeker).collect()
     }
 
-    /// What a member of a pool has left beside its lasting tasks; a host on its way is empty.
+    /// The capacity of a pool's member that its lasting tasks leave; a host that is still arriving
+    /// is empty.
     fn capacity_for_lasting(&self, pool: &PoolName, entry: &HostEntry) -> Option<Room<StepKey>> {
         let labels = entry.labels.clone();
-        // The platform lists a host in its new pool as soon as it moves, without an executor. Taken
-        // for one without room, it would be sent for again with each list until it has come.
+        // The platform lists a moving host in its new pool at once, without an executor. If the
+        // host counted as having no capacity, each new list would cause another host to be fetched
+        // until it has arrived.
         let withdrawal = self.fleet.withdrawals.get(&entry.host);
         let arriving = withdrawal.is_some_and(|w| w.purpose == Purpose::Move(pool.clone()));
         if arriving || entry.pool != *pool {
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -1,32 +1,36 @@
-//! What each event makes of it all.
+//! The scheduler's state and its reaction to each event.
 //!
-//! [`Scheduler::handle`] takes in one event and notes what it changes; [`Scheduler::settle`] then
-//! decides once for all events that were waiting: jobs that have ended, runs to place, executors to
-//! look at, hosts to move or maintain, records to store. Deciding once a batch keeps the work
-//! bounded when hundreds of runs end in the same moment.
+//! [`Scheduler::handle`] applies one event to the state. [`Scheduler::settle`] then decides once
+//! for the whole batch of events: which jobs have ended, which runs to place, which executors to
+//! poll, which hosts to move or maintain and which records to store. One decision per batch bounds
+//! the work when hundreds of runs end at the same moment.
 //!
-//! - [`executor_table`]: all executors by pool and by job; [`executors`]: what is believed of each, [`clock`] when its lease ends.
-//! - [`outbox`]: what waits until its records are stored.
-//! - [`jobs`]: jobs come, are cancelled, come due and end.
-//! - [`looks`]: executors are looked at, and what they say is compared with what is believed.
-//! - [`ends`]: runs end, or are known never to have begun.
-//! - [`starts`]: answers to starts and stops; [`failed_starts`] are not repeated at once for ever, and
-//!   [`pending_starts`] bounds those on their way.
+//! - [`executor_table`]: all executors, indexed by pool and by job; [`executors`]: the leader's
+//!   view of each; [`clock`]: when the lease of an executor ends.
+//! - [`outbox`]: records to store, and the effects that wait until they are stored.
+//! - [`jobs`]: submission, cancellation, schedules and ends of jobs.
+//! - [`looks`]: polls executors and compares their reports with the leader's view.
+//! - [`ends`]: handles the ends of runs and the proof that a run never started.
+//! - [`starts`]: sends starts and stops and handles the responses; [`failed_starts`] bounds their
+//!   repetition, [`pending_starts`] the number of those in flight.
 //! - [`crashes`]: executors that ended, and which of them crashed.
 //! - [`suspects`]: tasks under which executors have crashed.
-//! - [`stragglers`]: runs that fall far behind are given up.
+//! - [`stragglers`]: stops runs that fall far behind.
 //! - [`lapses`]: runs on executors that cannot be reached.
-//! - [`waiting`]: which steps wait, most urgent first; [`free_capacity`]: what executors have left.
-//! - [`pass`]: waiting tasks find hosts, among the [`places`] that suit them; [`gangs`] find them together; [`advice`] asks where a
-//!   step may run; [`gang_reservations`] keeps room for gangs; [`preemption`] makes room for lasting tasks.
-//! - [`quotas`]: callers are held to what their tasks may use at once.
-//! - [`speed_limits`]: work that fills gaps is slowed beside work that serves.
-//! - [`registrations`]: executors come, drain and go.
+//! - [`waiting`]: the waiting steps, most urgent first; [`free_capacity`]: the free capacity of
+//!   executors.
+//! - [`pass`]: places waiting tasks on executors, among the [`places`] that suit them; [`gangs`]
+//!   places the members of a gang together; [`advice`] requests permission to run a step;
+//!   [`gang_reservations`] reserves capacity for gangs; [`preemption`] frees capacity for lasting
+//!   tasks.
+//! - [`quotas`]: enforces what the tasks of a caller may use at once.
+//! - [`speed_limits`]: slows best-effort runs beside runs that serve users.
+//! - [`registrations`]: executors that register, drain or leave.
 //! - [`host_list`]: the platform's list of hosts.
-//! - [`hosts`]: orders for hosts, which are emptied before ([`draining`]); [`waves`] maintain them,
-//!   [`lending`] moves them, also for what [`lasting`] tasks need.
-//! - [`recovery`]: a new leader takes over.
-//! - [`view`]: what callers ask; [`explain`] tells operators why.
+//! - [`hosts`]: orders for hosts, which are drained first ([`draining`]); [`waves`] maintains
+//!   hosts, [`lending`] moves them between pools, also where [`lasting`] tasks need them.
+//! - [`recovery`]: takeover by a new leader.
+//! - [`view`]: responses to callers; [`explain`]: explanations for operators.
 
 pub mod advice;
 pub mod clock;
@@ -90,23 +94,23 @@
     task::StepKey,
 };
 
-/// What the operator's platform promises, and how the leader uses it.
+/// Guarantees of the operator's platform, and the leader's intervals that depend on them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// How long an executor may run things without hearing from the leader.
+    /// How long an executor may run tasks without contact to the leader.
     pub lease: Duration,
-    /// How long after a change of leader an executor that cannot be reached may still run what an
-    /// earlier leader started: that leader's last orders and the longest lease they gave.
+    /// How long after a takeover an unreachable executor may still run what an earlier leader
+    /// started: that leader's last orders plus the longest lease that they gave.
     pub inherited_lease: Duration,
-    /// How long a look may wait for an end.
+    /// How long a poll may wait for a run to end.
     pub poll_wait: Duration,
-    /// How old an earlier leader's order for a host must be before a new leader gives one.
+    /// The minimum age of an earlier leader's order for a host before a new leader sends one.
     pub host_order_pause: Duration,
-    /// How many orders for hosts the platform takes in a second, from all daemons together.
+    /// How many host orders per second the platform accepts from all daemons together.
     pub host_calls_per_s: f64,
-    /// How long a host is away for a move.
+    /// How long a host is out of service while it moves to another pool.
     pub host_move: Duration,
-    /// The shortest time between two appends.
+    /// The minimum interval between two appends.
     pub append_interval: Duration,
 }
 
@@ -124,7 +128,7 @@
     }
 }
 
-/// The state of the leader.
+/// The leader's state.
 #[derive(Debug)]
 pub struct Scheduler {
     limits: Limits,
@@ -135,16 +139,16 @@
     executors: ExecutorTable,
     free_capacity: FreeCapacityByPool,
     waiting: Waiting,
-    /// When a lasting step last found no room.
+    /// When a lasting step last failed to find capacity.
     lasting_unplaced: BTreeMap<StepKey, Time>,
-    /// What callers have handed in, against their shares.
+    /// The submission rate of each caller, compared with its share.
     job_rates: BTreeMap<CallerName, JobRate>,
-    /// When it was last told that a caller's tasks wait for its quota.
+    /// When the log last reported that a caller's tasks wait for its quota.
     quota_logged: BTreeMap<CallerName, Time>,
-    /// Executors that may be due for a look since something has happened to them.
+    /// Executors that changed since they were last considered for a poll.
     poll_candidates: Vec<ExecutorName>,
-    /// Hosts that an earlier leader has ordered about of late, and how long ago at least when this
-    /// one took over.
+    /// Hosts to which an earlier leader recently sent orders, with the minimum age of the last
+    /// order at the time of this leader's takeover.
     inherited_host_orders: BTreeMap<HostName, Duration>,
     times: BTreeMap<JobName, JobTimes>,
     learned: Learned,
@@ -152,15 +156,15 @@
     advice: Advice,
     gang_reservations: GangReservations,
     fleet: Fleet,
-    /// The tasks of lasting steps that are not at work, as of the last step of the fleet.
+    /// The tasks of lasting steps that are not at work, as of the last fleet update.
     unavailable: BTreeMap<StepKey, BTreeSet<u32>>,
     waves: Waves,
     lending: Lending,
     /// Pools in which a waiting task may find a host since the last pass.
     dirty_pools: BTreeSet<PoolName>,
-    /// Jobs that may have ended since the last look at them.
+    /// Jobs to be checked for their end.
     maybe_ended: BTreeSet<JobName>,
-    /// Jobs whose end is being stored.
+    /// Jobs whose end is being stored, with the number of the append.
     ending_jobs: BTreeMap<JobName, u64>,
     /// Executors that ended since the last decision.
     ended_executors: Vec<EndedExecutor>,
@@ -173,14 +177,14 @@
     effects: Vec<Effect>,
 }
 
-/// How often everything is looked through whether or not an event asks for it.
+/// How often everything is checked regardless of events.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// How often each run is looked at, and each host and pool: an order to stop is repeated after
-/// 600 ms, a run is judged after 1.2 s, and a host takes a second and a half to come.
+/// How often runs, hosts and pools are checked. The intervals that depend on it are longer: a stop
+/// is repeated after 600 ms, a run is judged after 1.2 s, and a host takes 1.5 s to arrive.
 const SLOW_SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Scheduler {
-    /// Takes in one event.
+    /// Applies one event to the state.
     pub fn handle(&mut self, now: Now, event: Event) {
         match event {
             Event::Submitted(submission) => self.submit(now, submission),
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Decides, and gives what is to be done.
+    /// Decides on the events applied so far, and returns the effects to carry out.
     pub fn settle(&mut self, now: Now) -> Vec<Effect> {
         let sweep = now.time.since(self.last_sweep) >= SWEEP_INTERVAL;
         if sweep {
@@ -229,8 +233,8 @@
         self.update_waiting(now, sweep);
         self.place_waiting(now);
         if slow_sweep {
-            // After the pass: a host that has just come back is idle until then, and would be sent
-            // away again past the tasks that wait for it.
+            // This follows the placement pass: until then a host that has just returned is idle,
+            // and would be sent away again although tasks wait for it.
             self.advance_fleet(now);
         }
         self.look_around(now, sweep);
@@ -238,7 +242,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Looks through what no event reports.
+    /// Checks for changes that no event reports.
     fn sweep(&mut self, now: Now) {
         self.release_lapsed(now);
         self.begin_due(now);
@@ -246,7 +250,7 @@
         self.forget_executors(now);
     }
 
-    /// Looks through runs, and drops what is not needed any more.
+    /// Checks all runs, and drops state that is no longer needed.
     fn sweep_runs(&mut self, now: Now) {
         self.repeat_stops(now);
         self.stop_stragglers(now);
@@ -267,7 +271,7 @@
         self.renew_times(now);
     }
 
-    /// Changes the ledger and has the change stored.
+    /// Applies a record to the ledger and queues it for storing.
     fn record(&mut self, record: Record) {
         self.ledger.apply(&record);
         if let Some(job) = record.job() {
@@ -276,8 +280,8 @@
         self.outbox.add(record);
     }
 
-    /// The pool whose hosts run a job's tasks: by the configuration in force, or the last one in
-    /// which its queue stood.
+    /// The pool whose hosts run a job's tasks, according to the current configuration or to the
+    /// last one that contained the job's queue.
     fn pool_of(&self, job: &JobName) -> Option<&PoolName> {
         let times = self.times.get(job)?;
         Some(&times.pool)
--- a/crates/borageswitch_scheduler/src/reducer/outbox.rs
+++ b/crates/borageswitch_scheduler/src/reducer/outbox.rs
@@ -1,8 +1,8 @@
-//! What waits until its records are stored.
+//! Records to store, and effects that wait until their records are stored.
 //!
-//! One append is on its way at a time and carries everything that came up meanwhile, so the calls
-//! to the store stay at some tens a second whatever the load. An effect that depends on a record
-//! leaves only when the append with that record is confirmed.
+//! One append is in flight at a time and carries all records that accumulated meanwhile, so the
+//! store gets some tens of calls per second regardless of load. An effect that depends on a record
+//! is released only when the append with that record is confirmed.
 
 use borageswitch_types::{
     Time,
@@ -17,22 +17,22 @@
     task::TaskKey,
 };
 
-/// What is done once records are stored.
+/// An action that is carried out once its records are stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Deferred {
-    /// Start a run whose assignment is stored.
+    /// Send the start of a run whose assignment is stored.
     Start(ExecutorName, TaskKey, u32),
-    /// Give an order for a host that is stored as ordered.
+    /// Send an order for a host once it is recorded as ordered.
     OrderHost(HostName),
     /// Acknowledge an executor's ends up to a number.
     Acknowledge(ExecutorName, u64),
-    /// Show a job as ended.
+    /// Report a job as ended.
     ShowEnd(JobName),
-    /// Tell the operator that a wave is completed.
+    /// Report to the operator that a wave is completed.
     ReportWave(u64),
 }
 
-/// Records on their way to the store, and what waits for them.
+/// Records on their way to the store, and the actions that wait for them.
 #[derive(Debug)]
 pub struct Outbox {
     next_append: u64,
@@ -42,24 +42,26 @@
     forget: Vec<JobName>,
     deferred_actions: Vec<Deferred>,
     in_flight_actions: Vec<Deferred>,
-    /// The first append that no snapshot has taken in.
+    /// The first append that no snapshot covers.
     first_uncompacted: u64,
-    /// The ledger as the append on its way leaves it.
+    /// The ledger including the append in flight, to be stored as a snapshot.
     snapshot: Option<Box<Snapshot>>,
 }
 
-/// After so many appends the ledger is stored whole, so that a takeover reads little. The call that
-/// stores it removes them, and takes 32 entries in all.
+/// The number of appends after which a snapshot of the ledger is stored, so that a takeover reads
+/// little. The call that stores the snapshot also removes these appends, and the store accepts at
+/// most 32 entries per call.
 const APPENDS_PER_SNAPSHOT: u64 = 28;
-/// The most records of one append: at some hundred bytes each, well under the store's largest value.
+/// The maximum number of records in one append: at some hundred bytes each, well below the largest
+/// value that the store accepts.
 const MAX_RECORDS: usize = 2_000;
-/// The most jobs whose keys one append removes. The store takes 32 entries a call and refuses more
-/// whole, for ever: nothing would be stored any more. Three entries are taken, and a job has up to
-/// two keys.
+/// The maximum number of jobs whose keys one append removes. The store accepts 32 entries per call
+/// and rejects a larger call as a whole each time, so nothing would be stored any more. Three
+/// entries of a call are already taken, and a job has up to two keys.
 const MAX_FORGOTTEN_JOBS: usize = 14;
 
 impl Outbox {
-    /// An outbox whose first append has number `next_append`.
+    /// Creates an outbox whose first append has the number `next_append`.
     pub fn new(next_append: u64) -> Self {
         Self {
             next_append,
@@ -99,21 +101,21 @@
         self.deferred_actions.push(Deferred::ReportWave(wave));
     }
 
-    /// A submission that is stored although its job has ended.
+    /// Removes the stored submission of a job that has ended.
     pub(super) fn forget(&mut self, job: JobName) {
         if !self.forget.contains(&job) {
             self.forget.push(job);
         }
     }
 
-    /// The number of the append that will carry what is added now.
+    /// The number of the append that will carry the records added now.
     pub(super) fn next_append(&self) -> u64 {
         self.next_append
     }
 }
 
 impl Scheduler {
-    /// Sends what is pending, unless an append is on its way or just was.
+    /// Sends the pending records, unless an append is in flight or was sent very recently.
     pub(super) fn flush(&mut self, now: Now) {
         let outbox = &self.outbox;
         let idle = outbox.pending.is_empty() && outbox.forget.is_empty();
@@ -138,8 +140,8 @@
         outbox.next_append += 1;
         outbox.in_flight = Some(append);
         outbox.sent_at = now.time;
-        // Only a ledger without records that are still to be stored may be a snapshot: of a later
-        // one some would be applied once more when the appends after it are read.
+        // A snapshot must not contain records that are still to be stored: a later append would
+        // apply them a second time when it is read after the snapshot.
         if complete && append >= outbox.first_uncompacted + APPENDS_PER_SNAPSHOT {
             outbox.snapshot = Some(Box::new(Snapshot::of(&self.ledger, append)));
         }
@@ -153,7 +155,7 @@
         self.outbox.in_flight = None;
         if let Some(snapshot) = self.outbox.snapshot.take() {
             let first_uncompacted = self.outbox.first_uncompacted;
-            // A long queue of appends is removed in parts.
+            // A long backlog of appends is removed in parts.
             let through = snapshot.through.min(first_uncompacted + APPENDS_PER_SNAPSHOT);
             self.outbox.first_uncompacted = through + 1;
             self.effects
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -1,7 +1,7 @@
-//! Waiting tasks find hosts.
+//! Places waiting tasks on executors.
 //!
-//! One pass looks at a pool: its jobs by urgency, their unblocked steps, their waiting tasks. Room
-//! that a task takes is gone for the rest of the pass.
+//! A pass handles one pool: its steps by urgency, and their waiting tasks. Capacity that a task
+//! takes is unavailable for the rest of the pass.
 
 use std::time::Duration;
 
@@ -21,31 +21,32 @@
     task::TaskKey,
 };
 
-/// How long after a miss a lasting step is tried again. Room is made for it within some hundred
-/// milliseconds; to look through a pool of hundreds of hosts at each decision until then would take
-/// a good part of a core where a rack with lasting tasks is lost in a rush.
+/// How long a lasting step waits for its next placement attempt after a failed one. Preemption
+/// frees capacity within some hundred milliseconds; searching a pool of hundreds of hosts at each
+/// decision until then would take much of a core when a rack with lasting tasks is lost during a
+/// load peak.
 const LASTING_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What came of an attempt to place a step.
+/// The result of an attempt to place a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placement {
-    /// All of it has a place, or waits for something else.
+    /// All tasks are placed, or wait for something other than capacity.
     Done,
-    /// No executor has room for one of its tasks, whatever else the step asks for.
+    /// No executor has capacity for a task of the step, even without the step's other constraints.
     NoCapacity,
 }
 
-/// Sizes for which no executor of a pool has room.
+/// Task sizes for which no executor of a pool has capacity.
 ///
-/// With a pool full and thousands of tasks waiting, most of a pass would go into asking each host
-/// again for each step.
+/// With a full pool and thousands of waiting tasks, most of a pass would otherwise go into checking
+/// each host again for each step.
 #[derive(Debug, Default)]
 struct UnplaceableSizes {
     sizes: Vec<Size>,
 }
 
 impl UnplaceableSizes {
-    /// Whether there is no room for a task of this size for certain.
+    /// Whether a task of this size cannot fit because an equal or smaller one did not.
     fn rules_out(&self, size: &Size) -> bool {
         self.sizes.iter().any(|unplaceable| size.holds(unplaceable))
     }
@@ -56,7 +57,7 @@
     }
 }
 
-/// The steps that last, and all others.
+/// Splits the order into lasting steps and all others.
 fn split_lasting(
     order: &WaitingOrder,
 ) -> (impl Iterator<Item = &WaitingStep>, impl Iterator<Item = &WaitingStep>) {
@@ -67,7 +68,7 @@
 }
 
 impl Scheduler {
-    /// Places what waits in the pools in which something has changed.
+    /// Runs a placement pass for each pool in which something has changed.
     pub(super) fn place_waiting(&mut self, now: Now) {
         for pool in std::mem::take(&mut self.dirty_pools) {
             let order = self.waiting.take(&pool);
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Places a step that may use all room there is. A lasting one that found none is tried again
-    /// only after a while.
+    /// Places a step that may use all free capacity, including what is reserved. A lasting step
+    /// that found none is retried only after [`LASTING_RETRY_INTERVAL`].
     fn place_with_reserved(
         &mut self,
         now: Now,
@@ -142,7 +143,7 @@
         self.place_step(now, pool, step, available);
     }
 
-    /// The late steps that must run now and may go ahead of all others.
+    /// The late steps that must run now to be of use, as far as the allowance for them permits.
     fn last_chance_steps(&self, pool: &PoolName, order: &WaitingOrder) -> Vec<WaitingStep> {
         let due = order.values().filter(|step| step.due && !self.is_at_quota(step));
         let due: Vec<&WaitingStep> = due.collect();
@@ -186,7 +187,7 @@
         }
         let size = waiting.size;
         let mut places = self.places(now, &waiting.key, &step, available);
-        let mut without_isolation = None;
+        let mut unplaced_isolated = None;
         let limit = self.startable(waiting).min(self.pending_starts.remaining());
         for &index in waiting.waiting.iter().take(limit) {
             let task = waiting.key.task(index);
@@ -196,8 +197,8 @@
             }
             let Some(executor) = places.take(&size, standing) else {
                 if standing == Standing::Isolated {
-                    // It waits for a host without suspects; there may be room for the others.
-                    without_isolation = Some(task);
+                    // This task waits for a host without suspects; the others may still fit.
+                    unplaced_isolated = Some(task);
                     continue;
                 }
                 if needs_ticket {
@@ -208,7 +209,7 @@
                     self.lasting_unplaced.insert(waiting.key.clone(), now.time);
                     return Placement::Done;
                 }
-                // The other tasks of the step are of the same size.
+                // The other tasks of the step have the same size.
                 let nowhere = !available.values().any(|free| free.holds(&size));
                 return if nowhere { Placement::NoCapacity } else { Placement::Done };
             };
@@ -220,7 +221,7 @@
             self.assign(now, &executor, &task, None);
             self.mark_late(&executor, &task, waiting.urgency);
         }
-        if let Some(task) = without_isolation.filter(|_| step.lasting) {
+        if let Some(task) = unplaced_isolated.filter(|_| step.lasting) {
             self.preempt_for(now, pool, &task, &step);
             self.lasting_unplaced.insert(waiting.key.clone(), now.time);
         }
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Assigns a task to an executor; the order leaves once that is stored.
+    /// Assigns a task to an executor; the start is sent once the assignment is stored.
     pub(super) fn assign(
         &mut self,
         now: Now,
--- a/crates/borageswitch_scheduler/src/reducer/pass/tests.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass/tests.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn a_long_backlog_leaves_only_the_smallest_unplaceable_sizes() {
-    // A pool is full, and thousands of tasks of all sizes wait. Where there is no room for a small
-    // task there is none for a larger one; asked host by host for each of them, every decision
-    // would take longer the longer the backlog is.
+    // Guards against decisions that take longer the longer the backlog is. A pool is full, and
+    // thousands of tasks of all sizes wait: a size that does not fit rules out all larger ones, so
+    // that hosts are not checked again for each of them.
     let mut unplaceable = UnplaceableSizes::default();
     for cores in (1..2_000).rev() {
         unplaceable.add(size(cores, 2 * cores));
--- a/crates/borageswitch_scheduler/src/reducer/pending_starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pending_starts.rs
@@ -1,5 +1,5 @@
-//! Starts that are decided and not answered yet; how many there may be,
-//! [`crate::policy::start_window`] decides.
+//! Starts that are decided but not yet answered. [`crate::policy::start_window`] limits how many
+//! there may be.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,27 +10,27 @@
 
 use crate::{event::StartAnswer, policy::start_window::StartWindow, task::TaskKey};
 
-/// The starts on their way, from the decision to the answer.
+/// The starts in flight, from the decision to the response.
 #[derive(Debug, Default)]
 pub struct PendingStarts {
     runs: BTreeMap<TaskKey, u32>,
     window: StartWindow,
-    /// Pools in which tasks wait for an answer, as no more could be decided.
+    /// Pools whose tasks wait because the window was full.
     blocked_pools: BTreeSet<PoolName>,
 }
 
 impl PendingStarts {
-    /// How many more may be decided.
+    /// How many more starts may be decided.
     pub(super) fn remaining(&self) -> usize {
         self.window.left(self.runs.len())
     }
 
-    /// Tasks of a pool wait until a start is answered.
+    /// Records that tasks of a pool wait until a start is answered.
     pub(super) fn add_blocked_pool(&mut self, pool: &PoolName) {
         self.blocked_pools.insert(pool.clone());
     }
 
-    /// The pools in which more may be decided now.
+    /// Takes the pools in which more starts may be decided now.
     pub(super) fn take_blocked_pools(&mut self) -> BTreeSet<PoolName> {
         std::mem::take(&mut self.blocked_pools)
     }
@@ -39,7 +39,7 @@
         self.runs.insert(task.clone(), run);
     }
 
-    /// A start was answered, or got no answer, after `took`.
+    /// Handles the response to a start, or its absence, after `took`.
     pub(super) fn answered(
         &mut self,
         now: Time,
@@ -54,7 +54,7 @@
         self.finish(task, run);
     }
 
-    /// A run is over or was never begun.
+    /// Removes a run that has ended or never started.
     pub(super) fn finish(&mut self, task: &TaskKey, run: u32) {
         if self.runs.get(task) == Some(&run) {
             self.runs.remove(task);
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a step may go.
+//! Executors on which the tasks of a step may be placed.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,21 +15,21 @@
     task::{StepKey, TaskKey},
 };
 
-/// Where one task of a step may go.
+/// An executor on which tasks of a step may be placed.
 #[derive(Debug)]
 struct Place {
     executor: ExecutorName,
     rack: Option<Arc<str>>,
     candidate: Candidate<usize>,
-    /// How many more tasks of the step it may have.
+    /// How many more tasks of the step may be placed there.
     remaining: Option<usize>,
 }
 
-/// Where the tasks of one step may go.
+/// The executors on which tasks of one step may be placed.
 ///
-/// A rush has hundreds of tasks waiting for a hundred hosts. What the tasks of a step have in common
-/// is looked up once for all of them: looked up for each, it would take a third of the leader's time,
-/// and a leader on a weak host would come late with everything.
+/// During a load peak hundreds of tasks wait for a hundred hosts. What the tasks of a step have in
+/// common is therefore determined once for all of them: doing it for each would take a third of the
+/// leader's time, and a leader on a slow host would fall behind.
 #[derive(Debug)]
 pub(super) struct Places {
     places: Vec<Place>,
@@ -38,7 +38,7 @@
 }
 
 impl Places {
-    /// Gives the best place to a task.
+    /// Assigns the best place to a task.
     pub(super) fn take(&mut self, size: &Size, standing: Standing) -> Option<ExecutorName> {
         let open = self.places.iter().filter(|place| place.remaining != Some(0));
         let open = open.map(|place| place.candidate);
@@ -54,7 +54,7 @@
         place.candidate.in_use = true;
         place.candidate.siblings += usize::from(self.best_effort);
         place.remaining = match standing {
-            // Nothing is started beside it for a while.
+            // Nothing is started beside an isolated task for a while.
             Standing::Isolated => Some(0),
             _ => place.remaining.map(|remaining| remaining - 1),
         };
@@ -68,8 +68,9 @@
 }
 
 impl Scheduler {
-    /// Whether a task of a step may run on an executor, however much room there is: by its label,
-    /// by how many of its step are `planned` there besides those that it has, and by the advisor.
+    /// Whether a task of a step may run on an executor, regardless of free capacity: checks the
+    /// label, the limit per host counting `planned` tasks besides those already there, and the
+    /// advisor's permission.
     pub(super) fn may_run_on(
         &self,
         now: Now,
@@ -85,7 +86,7 @@
             && (!ticketed || self.advice.ticket(key, executor, now.time).is_some())
     }
 
-    /// Where tasks of a step may go.
+    /// Collects the executors on which tasks of a step may be placed.
     pub(super) fn places(
         &self,
         now: Now,
@@ -100,7 +101,8 @@
         let tasks = self.ledger.suspects.range(key.task(0)..=key.task(u32::MAX));
         let isolated = tasks.into_iter().any(|(_, c)| Standing::of(c) == Standing::Isolated);
         let mut places = Vec::new();
-        // Most hosts of a pool in its rush are full, and are told by their room alone.
+        // Most hosts of a pool at its load peak are full, so filtering by free capacity first is
+        // cheap.
         for (executor, free) in available.iter().filter(|(_, free)| free.holds(&size)) {
             let Some(known) = self.executors.get(executor) else { continue };
             if !self.may_run_on(now, key, step, executor, 0) {
@@ -134,7 +136,7 @@
         Places { places, lasting: step.lasting, best_effort: step.fills }
     }
 
-    /// Tasks of the same step in each rack; counted only where it matters.
+    /// The number of tasks of the same step in each rack; only counted for lasting steps.
     fn siblings_by_rack(&self, key: &StepKey, step: &Step) -> BTreeMap<Arc<str>, usize> {
         let mut by_rack = BTreeMap::new();
         if !step.lasting {
@@ -151,13 +153,13 @@
     }
 }
 
-/// The room that a task of a step takes.
+/// The capacity that a task of a step reserves.
 pub(super) fn reserved_size(step: &Step) -> Size {
     let cpu_milli = if step.fills { 0 } else { step.size.cpu_milli };
     Size { cpu_milli, ..step.size }
 }
 
-/// How many tasks of a step an executor has.
+/// The number of tasks of a step on an executor.
 pub(super) fn siblings(known: &Executor, key: &StepKey) -> usize {
     let of_step = |task: &&TaskKey| {
         task.step == key.step && task.occurrence == key.occurrence && task.job == key.job
@@ -166,12 +168,12 @@
     from.take_while(of_step).count()
 }
 
-/// Whether a step may run on an executor, as far as labels go.
+/// Whether an executor has the label that a step requires.
 pub(super) fn fits_labels(step: &Step, known: &Executor) -> bool {
     step.label.as_ref().is_none_or(|label| known.registration.has_label(label))
 }
 
-/// Whether a task that fills gaps would come beside one that serves users, or the other way round.
+/// Whether a best-effort task would be placed beside one that serves users, or the reverse.
 fn interferes(step: &Step, known: &Executor) -> bool {
     let serves = step.target_tail.is_some() && !step.fills;
     let mut others = known.runs.values();
--- a/crates/borageswitch_scheduler/src/reducer/preemption.rs
+++ b/crates/borageswitch_scheduler/src/reducer/preemption.rs
@@ -1,8 +1,9 @@
-//! Makes room for lasting tasks.
+//! Preempts short runs for lasting tasks.
 //!
-//! The load: a pool is full of short tasks when a lasting task, which serves its own users, loses
-//! its host. Waiting for room to come free by chance, it competes with hundreds of short tasks that
-//! fit into smaller gaps, and its users are without service for as long as the rush lasts.
+//! A lasting task, which serves its own users, may lose its host while its pool is full of short
+//! tasks. If it waited for capacity to become free by chance, it would compete with hundreds of
+//! short tasks that fit into smaller gaps, and its users would be without service for as long as
+//! the load peak lasts.
 
 use borageswitch_types::{
     Time,
@@ -21,9 +22,9 @@
 };
 
 impl Scheduler {
-    /// Stops the short runs whose loss is least on one executor, so that a lasting task fits there.
+    /// Stops the short runs with the least loss on one executor, so that a lasting task fits there.
     ///
-    /// Does nothing while room is on its way somewhere.
+    /// Does nothing while runs that are already being stopped will free enough capacity somewhere.
     pub(super) fn preempt_for(&mut self, now: Now, pool: &PoolName, task: &TaskKey, step: &Step) {
         let key = task.step_key();
         let size = reserved_size(step);
@@ -54,7 +55,7 @@
     }
 }
 
-/// The room once everything that is being stopped has ended.
+/// The free capacity once all runs that are being stopped have ended.
 fn free_after_stops(known: &Executor) -> Size {
     let mut available = known.free();
     for held in known.runs.values().filter(|held| held.phase == Phase::Stopping) {
@@ -63,8 +64,8 @@
     available
 }
 
-/// The short runs to stop for `size`, with the core-milliseconds that each has worked, the least
-/// first; nothing if not enough of them are there.
+/// The short runs to stop for `size` in ascending order of loss, each with the core-milliseconds
+/// that it has worked; `None` if they do not free enough.
 fn victims(known: &Executor, size: &Size, now: Time) -> Option<Vec<(TaskKey, u64)>> {
     let loss =
         |held: &Held| held.size.cpu_milli * now.since(held.started).as_millis() as u64 / 1_000;
--- a/crates/borageswitch_scheduler/src/reducer/quotas.rs
+++ b/crates/borageswitch_scheduler/src/reducer/quotas.rs
@@ -1,7 +1,8 @@
-//! Callers are held to their quotas; how, [`crate::policy::quotas`] says.
+//! Enforces the quotas of callers, as decided by [`crate::policy::quotas`].
 //!
-//! What a caller uses is counted with its runs in the table of executors, so whatever ends a run or
-//! proves that it never began gives its part back, and a new leader counts what it inherits.
+//! A caller's usage is counted with its runs in the executor table. Whatever ends a run, or proves
+//! that it never started, therefore releases its part, and a new leader counts the runs that it
+//! inherits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,17 +17,17 @@
     reducer::{Scheduler, waiting::WaitingStep},
 };
 
-/// The shortest time between two lines about one caller.
+/// The minimum interval between two log lines about one caller.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For which hosts tasks of a caller wait: those of a pool, with a label or any.
+/// The hosts for which tasks of a caller wait: those of a pool, with a label or any.
 type HostKind<'a> = (&'a CallerName, &'a PoolName, Option<&'a str>);
 
-/// What callers may start, while it is dealt out to the tasks that wait.
+/// Allocates to waiting tasks what their callers may start.
 ///
-/// Each kind of hosts for which a caller's tasks wait is dealt all that the caller may start: where
-/// these tasks can run is not known here. Dealt out once for all of them, it would go to tasks that
-/// find no host, and none would be fetched for the others, which then wait for ever.
+/// Each kind of host for which a caller's tasks wait is allocated all that the caller may start, as
+/// it is not known here where these tasks can run. A single allocation for all kinds could go to
+/// tasks that find no host; no host would be fetched for the others, and they would wait forever.
 #[derive(Debug)]
 pub(super) struct QuotaAllocation<'a> {
     scheduler: &'a Scheduler,
@@ -34,7 +35,7 @@
 }
 
 impl<'a> QuotaAllocation<'a> {
-    /// Takes as much as a caller's tasks of one size may, of so many.
+    /// Allocates as many of `tasks` tasks of one size as the caller's quota permits.
     pub(super) fn take(
         &mut self,
         job: &'a Job,
@@ -54,24 +55,24 @@
 }
 
 impl Scheduler {
-    /// What all callers may start as things stand.
+    /// Begins an allocation of what all callers may start now.
     pub(super) fn quota_allocation(&self) -> QuotaAllocation<'_> {
         QuotaAllocation { scheduler: self, allocated: BTreeMap::new() }
     }
 
-    /// The quota of a caller by the configuration in force; nothing where it has none.
+    /// The quota of a caller in the current configuration; `None` if it has none.
     pub(super) fn quota_of(&self, caller: &CallerName) -> Option<Size> {
         let config = self.config.as_ref()?;
         Some(config.callers.get(caller)?.quota)
     }
 
-    /// How many waiting tasks of a step its caller's quota lets start now.
+    /// How many waiting tasks of a step the caller's quota permits to start now.
     pub(super) fn startable(&self, step: &WaitingStep) -> usize {
         let all = step.waiting.len();
         step.charge.as_ref().map_or(all, |charge| self.startable_of(charge, step.gang, all))
     }
 
-    /// How many of so many tasks of a caller its quota lets start now. Members of a gang start
+    /// How many of `all` tasks of a caller its quota permits to start now. Members of a gang start
     /// together or not at all.
     pub(super) fn startable_of(&self, charge: &Charge, gang: bool, all: usize) -> usize {
         let Some(quota) = self.quota_of(&charge.caller) else { return all };
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Tells which callers' share or quota a configuration changes.
+    /// Logs the callers whose share or quota a configuration changes.
     pub(super) fn log_caller_changes(&mut self, fresh: &Config) {
         let known = self.config.clone();
         let before = |name| known.as_ref().and_then(|config| config.callers.get(name));
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Tells at most once a second that a caller's tasks wait for its quota.
+    /// Logs that a caller's tasks wait for its quota, at most once a second.
     pub(super) fn log_at_quota(&mut self, now: Now, step: &WaitingStep) {
         let Some(charge) = &step.charge else { return };
         let logged = self.quota_logged.get(&charge.caller);
--- a/crates/borageswitch_scheduler/src/reducer/speed_limits.rs
+++ b/crates/borageswitch_scheduler/src/reducer/speed_limits.rs
@@ -1,4 +1,5 @@
-//! Work that fills gaps is slowed beside work that serves; the decision is in [`crate::policy::pacing`].
+//! Limits the speed of best-effort runs beside runs that serve users, as decided by
+//! [`crate::policy::pacing`].
 
 use borageswitch_types::names::ExecutorName;
 
@@ -13,22 +14,22 @@
     task::TaskKey,
 };
 
-/// The pace of a run that has just started, in percent.
+/// The speed of a run that has just started, in percent.
 pub const FULL_SPEED: u8 = 100;
 
-/// Whom work that fills gaps may disturb on an executor.
+/// The runs on an executor that best-effort runs may slow down. The log shows the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServingState {
-    /// Nobody.
+    /// No runs serve users.
     Nobody,
-    /// Tasks that have not begun to serve.
+    /// Runs that have not begun to serve.
     NotYet,
-    /// Tasks that serve; the worst of their tails, in percent of its target.
+    /// Runs that serve users, with the worst of their tail latencies in percent of its target.
     Tail(u64),
 }
 
 impl Scheduler {
-    /// Adapts the pace of whatever fills gaps on an executor that was just looked at.
+    /// Adjusts the speed limits of best-effort runs on an executor that was just polled.
     pub(super) fn adjust_speed_limits(&mut self, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let served = serving_state(known);
@@ -71,10 +72,10 @@
     }
 }
 
-/// The pace that a run is to have, if that can be told now.
+/// The speed limit that a run should get, if it can be determined now.
 ///
-/// A pace that is not known is ordered in any case: taken for full speed, a run that stands still
-/// would never be told to go on, and its owner would see it do nothing for ever.
+/// An unknown limit is always set again: if it were taken for full speed, a paused run would never
+/// be resumed, and its owner would never see progress.
 fn next_speed_limit(held: &Held, served: ServingState) -> Option<u8> {
     match served {
         ServingState::Nobody => Some(FULL_SPEED),
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -1,9 +1,9 @@
-//! Runs are started and stopped, and the answers are taken in.
+//! Starts and stops runs, and handles the responses.
 //!
-//! A start without an answer may be carried out seconds later. Its room stays taken, and the task
-//! is started nowhere else, until one of three things proves that it does not run: the executor
-//! has answered an order to stop it and does not list it, the executor's lease has ended, or the
-//! executor's life is over.
+//! A start without a response may be carried out seconds later. Its capacity stays taken, and the
+//! task is started nowhere else, until one of three events proves that it does not run: the
+//! executor has answered a stop and does not list the run, the executor's lease has expired, or the
+//! executor's incarnation has ended.
 
 use std::time::Duration;
 
@@ -20,16 +20,16 @@
     task::TaskKey,
 };
 
-/// How long an executor that refused something for want of room gets nothing new: about the time
-/// until its next report shows what it has.
+/// How long an executor that rejected an order for lack of capacity gets nothing new: about the
+/// time until its next report shows its capacity.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(200);
-/// How long an executor that called an order malformed gets nothing new.
+/// How long an executor that rejected an order as malformed gets nothing new.
 const MALFORMED_PAUSE: Duration = Duration::from_secs(2);
-/// An order to stop that got no answer is repeated after this time, longer than a call may take.
+/// The interval after which a stop without a response is repeated, longer than a call may take.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Scheduler {
-    /// Sends a start whose assignment is stored, unless things have changed meanwhile.
+    /// Sends a start whose assignment is stored, unless the state has changed meanwhile.
     pub(super) fn send_start(
         &mut self,
         now: Now,
@@ -42,7 +42,7 @@
         if held.run != run || held.phase != Phase::Recorded {
             return;
         }
-        // Its capacity may have shrunk since the run was placed.
+        // The executor's capacity may have shrunk since the run was placed.
         let fits = known.free_without(held).holds(&held.size);
         let accepts = known.present && known.fenced && !known.registration.draining && fits;
         let Some(order) = self.start_order(now, executor, task, run).filter(|_| accepts) else {
@@ -102,7 +102,8 @@
         let Some(known) = self.executors.get_mut(executor) else { return };
         if let Some(clock_ms) = clock_ms {
             if known.is_other_life(sent, clock_ms) {
-                // It may run there: it is looked for once that life is registered.
+                // The run may be on the new incarnation, and is searched for once that has
+                // registered.
                 self.start_unanswered(now, executor, task);
                 self.life_over(now, executor, Ending::OtherLifeAnswered);
                 return;
@@ -189,7 +190,7 @@
         self.release(executor, task, why);
     }
 
-    /// Wants a run to end, however it stands.
+    /// Stops a run, whatever its phase.
     pub(super) fn order_stop(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let Some(held) = known.runs.get_mut(task) else { return };
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Sends an order to stop a run.
+    /// Sends a stop for a run.
     pub(super) fn send_stop(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let recipient = known.recipient();
@@ -236,12 +237,12 @@
             }
             OrderAnswer::Fenced => self.effects.push(Effect::StepDown),
             OrderAnswer::OtherLife => self.life_over(now, executor, Ending::OtherLifeAnswered),
-            // Sent again from the sweep.
+            // The sweep repeats the stop.
             OrderAnswer::Refused | OrderAnswer::Lost => {}
         }
     }
 
-    /// Repeats orders to stop that got no answer.
+    /// Repeats stops that got no response.
     pub(super) fn repeat_stops(&mut self, now: Now) {
         let mut due = Vec::new();
         for (executor, known) in self.executors.iter() {
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Stops runs that are pointless now that another run of the task is done.
+    /// Stops the other runs of a task once one of them is done.
     pub(super) fn stop_redundant_runs(&mut self, now: Now, ended: &TaskKey, how: EndKind) {
         if how != EndKind::Done {
             return;
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that fall far behind are given up; the decision is in [`crate::policy::stragglers`].
+//! Stops runs that fall far behind, as decided by [`crate::policy::stragglers`].
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,7 +14,7 @@
     task::TaskKey,
 };
 
-/// How many runs of each task have been given up.
+/// The number of stopped stragglers of each task.
 #[derive(Debug, Default)]
 pub struct Stragglers {
     given_up: BTreeMap<TaskKey, u32>,
@@ -26,11 +26,11 @@
     }
 }
 
-/// A report older than this says too little of a run's progress.
+/// A report older than this is too old to judge a run's progress.
 const FRESH_REPORT: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
-    /// Stops runs that a fresh run elsewhere would overtake.
+    /// Stops runs that a new run elsewhere would overtake.
     pub(super) fn stop_stragglers(&mut self, now: Now) {
         let mut found: Vec<(ExecutorName, TaskKey)> = Vec::new();
         for (executor, known) in self.executors.iter() {
@@ -56,7 +56,7 @@
         if held.phase != Phase::Active || step.gang {
             return false;
         }
-        // Progress is as old as the report that told of it.
+        // Progress is as old as the report that contained it.
         let reported_at = known.clock.map_or(held.started, |clock| clock.received);
         let elapsed = reported_at.since(held.started);
         if held.lasting {
@@ -84,7 +84,7 @@
         self.order_stop(now, executor, task);
     }
 
-    /// Drops what was noted of jobs that have ended.
+    /// Drops the counts of jobs that have ended.
     pub(super) fn forget_stragglers(&mut self) {
         let jobs = &self.ledger.jobs;
         self.stragglers.given_up.retain(|task, _| jobs.contains_key(&task.job));
--- a/crates/borageswitch_scheduler/src/reducer/view.rs
+++ b/crates/borageswitch_scheduler/src/reducer/view.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask.
+//! Read access for callers and operators.
 
 use borageswitch_types::names::{CallerName, JobName, QueueName};
 
@@ -7,36 +7,37 @@
     reducer::Scheduler,
 };
 
-/// How a job stands, as its caller sees it.
+/// The status of a job, as its caller sees it.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, derive_more::Display,
 )]
 pub enum JobStatus {
-    /// It is accepted; nothing of it has started.
+    /// The job is accepted; none of its tasks has started.
     #[display("queued")]
     Queued,
-    /// Something of it has started.
+    /// At least one task has started.
     #[display("running")]
     Running,
-    /// It has ended.
+    /// The job has ended.
     #[display("{_0}")]
     Ended(Outcome),
-    /// It has failed: executors crash under one of its tasks.
+    /// The job has failed because executors crash under one of its tasks.
     #[display("failed: {_0}")]
     GivenUp(GivenUp),
 }
 
 impl JobStatus {
-    /// Whether it has come to its end.
+    /// Whether the job has ended.
     pub fn has_ended(&self) -> bool {
         matches!(self, JobStatus::Ended(_) | JobStatus::GivenUp(_))
     }
 }
 
 impl Scheduler {
-    /// How a job of a queue stands; nothing if there is none.
+    /// The status of a job of a queue; `None` if the queue has no such job.
     ///
-    /// An end is shown only once it is stored: shown earlier, a crash could take it back.
+    /// An end is reported only once it is stored: if it were reported earlier, a crash could revert
+    /// it.
     pub fn status(&self, queue: &QueueName, job: &JobName) -> Option<JobStatus> {
         if let Some(finished) = self.ledger.finished.get(job) {
             if finished.queue != *queue {
@@ -54,28 +55,28 @@
         Some(if known.progress.started { JobStatus::Running } else { JobStatus::Queued })
     }
 
-    /// Whether a job that has not ended is another caller's.
+    /// Whether a job that has not ended belongs to another caller.
     pub fn is_foreign(&self, job: &JobName, caller: Option<&CallerName>) -> bool {
         self.ledger.jobs.get(job).is_some_and(|known| known.submission.is_foreign_to(caller))
     }
 
-    /// How many jobs of a queue wait for their first start.
+    /// The number of a queue's jobs that wait for their first start.
     ///
-    /// An order that is stored is no start: it may never have left. Counted as one, the jobs of a
-    /// rush that no leader could start would seem to run, and whoever watches the queue would see
-    /// it nearly empty.
+    /// A stored assignment does not count as a start, as the order may never have been sent. If it
+    /// did, the jobs of a load peak that no leader could start would seem to run, and whoever
+    /// monitors the queue would see it nearly empty.
     pub fn pending(&self, queue: &QueueName) -> u64 {
         let of_queue = self.ledger.jobs.iter().filter(|(_, j)| j.submission.queue.name == *queue);
         let begun = |name: &JobName| self.times.get(name).is_some_and(|times| times.begun);
         of_queue.filter(|(name, job)| !begun(name) && !job.has_ends()).count() as u64
     }
 
-    /// The ledger, for snapshots and invariants.
+    /// The ledger, for snapshots and invariant checks.
     pub fn ledger(&self) -> &crate::ledger::Ledger {
         &self.ledger
     }
 
-    /// The executors as they are known, for invariants and the state dump.
+    /// The executors as the leader knows them, for invariant checks and the state dump.
     pub fn executors(&self) -> impl Iterator<Item = &crate::reducer::executors::Executor> {
         self.executors.values()
     }
--- a/crates/borageswitch_scheduler/src/reducer/waiting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waiting.rs
@@ -1,9 +1,9 @@
-//! The steps that have tasks waiting, by pool and urgency.
+//! The steps with waiting tasks, by pool and urgency.
 //!
-//! In a rush thousands of tasks wait while hundreds end each second. Ordered anew for each decision,
-//! they would cost the more the longer the backlog is, so that a leader that has fallen behind
-//! falls behind further until nothing starts any more. So a job is looked at again when something
-//! has happened to it, and all others in turn, as their urgency changes with the time alone.
+//! At a load peak thousands of tasks wait while hundreds end each second. Sorting them anew for
+//! each decision would cost more the longer the backlog is, and a leader that has fallen behind
+//! would fall further behind until nothing starts any more. A job is therefore sorted in again only
+//! when it has changed, and all others in rotation, as their urgency changes with time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,26 +21,26 @@
     task::{StepKey, TaskKey},
 };
 
-/// In so many sweeps all waiting jobs are looked at again: a quarter of a second, in which a job
-/// becomes late by less than what is known of its run time anyway.
+/// The number of sweeps in which all waiting jobs are refreshed once: a quarter of a second, which
+/// is less than the uncertainty of a job's run time.
 const SWEEPS_PER_REFRESH: usize = 5;
-/// The least that are looked at again in one sweep.
+/// The minimum number of jobs refreshed per sweep.
 const MIN_REFRESHED_PER_SWEEP: usize = 50;
 
-/// What of a step waits.
+/// The waiting tasks of a step.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingStep {
     pub(super) urgency: Urgency,
     pub(super) key: StepKey,
-    /// The numbers of its tasks that wait.
+    /// The indices of the waiting tasks.
     pub(super) waiting: Vec<u32>,
-    /// The room that each of them takes.
+    /// The capacity that each task takes.
     pub(super) size: Size,
-    /// Whose job it is, and what each task uses of that caller's quota.
+    /// The caller, and what each task uses of its quota.
     pub(super) charge: Option<Charge>,
-    /// Its tasks work only together.
+    /// The tasks work only together.
     pub(super) gang: bool,
-    /// It must run now to be of use, though it will be late.
+    /// The step must run now to be of use, although it will be late.
     pub(super) due: bool,
 }
 
@@ -53,26 +53,26 @@
     steps: Vec<(Urgency, StepKey)>,
 }
 
-/// The steps that have tasks waiting.
+/// The waiting steps of all pools.
 #[derive(Debug, Default)]
 pub struct Waiting {
     orders: BTreeMap<PoolName, WaitingOrder>,
     listed: BTreeMap<JobName, ListedJob>,
-    /// Jobs to which something has happened.
+    /// Jobs that have changed.
     stale: BTreeSet<JobName>,
-    /// The last job that was looked at again in turn.
+    /// The last job refreshed in rotation.
     last_refreshed: Option<JobName>,
 }
 
 impl Waiting {
-    /// Something has happened to a job.
+    /// Marks a job as changed.
     pub(super) fn mark_stale(&mut self, job: &JobName) {
         if !self.stale.contains(job) {
             self.stale.insert(job.clone());
         }
     }
 
-    /// Takes the steps of a pool, to be put back by [`Self::put_back`].
+    /// Takes the steps of a pool; [`Self::put_back`] returns them.
     pub(super) fn take(&mut self, pool: &PoolName) -> WaitingOrder {
         self.orders.get_mut(pool).map(std::mem::take).unwrap_or_default()
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The jobs whose turn it is to be looked at again.
+    /// The next jobs to refresh in rotation.
     fn next_to_refresh(&mut self) -> Vec<JobName> {
         let count = (self.listed.len() / SWEEPS_PER_REFRESH).max(MIN_REFRESHED_PER_SWEEP);
         let from = self.last_refreshed.take().map_or(Bound::Unbounded, Bound::Excluded);
@@ -113,7 +113,7 @@
 }
 
 impl Scheduler {
-    /// Brings the order of waiting steps up to date.
+    /// Updates the order of waiting steps.
     pub(super) fn update_waiting(&mut self, now: Now, sweep: bool) {
         if sweep {
             let to_refresh = self.waiting.next_to_refresh();
@@ -158,7 +158,7 @@
     Some(Charge { caller, size: step.size })
 }
 
-/// The steps of a job that can run, with how many of their tasks wait.
+/// The steps of a job that can run, with the number of their waiting tasks.
 pub(super) fn unblocked_steps(job: &Job) -> Vec<(&Step, usize)> {
     let steps = &job.submission.spec.steps;
     let mut found = Vec::new();
@@ -189,7 +189,7 @@
     waiting
 }
 
-/// The tasks of a job that wait and could run.
+/// The waiting tasks of a job whose steps can run.
 pub(super) fn waiting_tasks_of(name: &JobName, job: &Job) -> Vec<TaskKey> {
     let steps = job.progress.open.keys().flat_map(|&open| waiting_by_step(name, job, open));
     steps.flat_map(|(key, tasks)| tasks.into_iter().map(move |index| key.task(index))).collect()
--- a/crates/borageswitch_scheduler/src/reducer/waves.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waves.rs
@@ -1,7 +1,7 @@
 //! Maintenance waves.
 //!
-//! Hosts of the pools that have the least to do come first. A wave never has more hosts away at
-//! once than the operator allows, counting a host until the platform lists it as up again.
+//! Hosts of the pools with the least work come first. A wave never has more hosts out of service at
+//! once than the operator permits; a host counts until the platform lists it as up again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 }
 
 impl Waves {
-    /// Whether a wave is not completed.
+    /// Whether any wave is not completed.
     pub fn is_open(&self) -> bool {
         !self.open.is_empty()
     }
@@ -35,7 +35,7 @@
         self.open.keys().copied()
     }
 
-    /// What was asked for by a wave that is not completed.
+    /// The request for a wave that is not completed.
     pub fn request(&self, wave: u64) -> Option<&WaveRequest> {
         self.open.get(&wave)
     }
@@ -88,7 +88,7 @@
         let work = self.work_by_pool();
         let mut waiting: Vec<(u64, HostName)> = due
             .into_iter()
-            // Emptied before it may be ordered, a host would stand idle for the rest of the pause.
+            // A host drained before it may be ordered would be idle for the rest of the pause.
             .filter(|host| {
                 !self.fleet.withdrawals.contains_key(host) && !self.is_order_paused(now.time, host)
             })
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Hosts that stay and whose maintenance has not begun.
+    /// The hosts of a wave that still exist and whose maintenance has not begun.
     pub(super) fn due_hosts(&self, wave: &WaveRequest) -> Vec<HostName> {
         let begun = self.ledger.maintained.get(&wave.wave);
         let begun: BTreeSet<&HostName> = begun.into_iter().flatten().collect();
@@ -110,9 +110,10 @@
         due.filter(|host| self.fleet.hosts.contains_key(*host)).cloned().collect()
     }
 
-    /// How many hosts count as away for the wave: those that are, those that are about to be, and
-    /// those that an order of an earlier leader may yet take away. Without the last, a new leader
-    /// would send the next host while such an order is on its way, and one too many would be away.
+    /// How many hosts count as out of service for the wave: those that are, those that are about to
+    /// be, and those that an earlier leader's order may still take away. Without the last, a new
+    /// leader could order the next host while such an order is in flight, and exceed the limit by
+    /// one.
     fn count_unavailable(&self, now: Now, wave: &WaveRequest) -> usize {
         let begun = self.ledger.maintained.get(&wave.wave);
         let begun: BTreeSet<&HostName> = begun.into_iter().flatten().collect();
@@ -133,7 +134,7 @@
         wave.hosts.iter().filter(counts).count()
     }
 
-    /// How much work each pool has for each of its hosts, in thousandths of a core.
+    /// The work of each pool per host, in thousandths of a core.
     fn work_by_pool(&self) -> BTreeMap<PoolName, u64> {
         let work = |pool: &PoolName| {
             let members = self.executors.of_pool(pool).map(|(_, known)| known.taken().cpu_milli);
