--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -17,8 +17,8 @@
     ledger::job::Job,
     reducer::{
         Scheduler,
-        places::{fits_labels, reserved},
-        rooms::Room,
+        free_capacity::FreeCapacity,
+        places::{fits_labels, reserved_size},
     },
     task::StepKey,
 };
@@ -89,7 +89,13 @@
     /// The request names executors that have free capacity but no valid verdict, even if the step
     /// is permitted on others: those may be full, or have reached the step's limit of tasks per
     /// host.
-    pub(super) fn request_advice(&mut self, now: Now, key: &StepKey, step: &Step, room: &Room) {
+    pub(super) fn request_advice(
+        &mut self,
+        now: Now,
+        key: &StepKey,
+        step: &Step,
+        room: &FreeCapacity,
+    ) {
         let advice = &self.advice;
         let busy =
             advice.in_flight.len() >= MAX_REQUESTS_IN_FLIGHT || advice.in_flight.contains_key(key);
@@ -100,7 +106,7 @@
             let known = self.executors.get(executor);
             known.is_some_and(|known| fits_labels(step, known))
         };
-        let size = reserved(step);
+        let size = reserved_size(step);
         let mut candidates: Vec<ExecutorName> = room
             .iter()
             .filter(|(_, free)| free.holds(&size))
@@ -128,7 +134,7 @@
         allowed: Option<Vec<(ExecutorName, Arc<str>)>>,
     ) {
         self.advice.in_flight.remove(step);
-        self.stir_pool_of(&step.job);
+        self.mark_pool_dirty(&step.job);
         let Some(allowed) = allowed else {
             self.advice.not_before = now.time + RETRY_BACKOFF;
             self.log("advice-missing", step, || "no answer".to_owned());
--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -276,8 +276,7 @@
 fn started_on(crashed: &[&EndedExecutor]) -> BTreeMap<JobName, usize> {
     let mut started_on: BTreeMap<JobName, usize> = BTreeMap::new();
     for executor in crashed {
-        let recent =
-            executor
+        let recent = executor
             .runs
             .iter()
             .filter(|lost| lost.max_age.is_some_and(|a| a <= crash_attribution::START_RELATED_AGE));
--- a/crates/borageswitch_scheduler/src/reducer/executor_table.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executor_table.rs
@@ -205,8 +205,7 @@
         let Some(born) = incarnation::started_at(executor) else { return };
         let latest = self.latest_incarnation(executor).and_then(incarnation::started_at);
         if latest.is_none_or(|latest| latest <= born) {
-            self.latest_incarnations
-                .insert(
+            self.latest_incarnations.insert(
                 ExecutorName::from(incarnation::registered_name(executor)),
                 executor.clone(),
             );
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -10,7 +10,7 @@
     incarnation,
     job::Size,
     policy::{circuit_breaker::CircuitBreaker, quotas::Charge},
-    reducer::{clock::ClockReading, crashes::LostRun, pace::FULL_PACE},
+    reducer::{clock::ClockReading, crashes::LostRun, speed_limits::FULL_SPEED},
     task::TaskKey,
 };
 
@@ -89,7 +89,7 @@
             percent: 0,
             recent: 0,
             // The speed limit that an earlier leader may have set is not known.
-            speed_limit: (phase == Phase::Recorded).then_some(FULL_PACE),
+            speed_limit: (phase == Phase::Recorded).then_some(FULL_SPEED),
             confirmed: false,
             stop_sent: None,
             stop_confirmed: None,
@@ -323,7 +323,7 @@
     /// When the last lease that it may hold has certainly expired.
     pub fn lease_expiry(&self) -> Option<Time> {
         match self.clock {
-            Some(clock) => Some(clock.latest(self.lease_until_ms)),
+            Some(clock) => Some(clock.latest_expiry(self.lease_until_ms)),
             None => self.inherited_until,
         }
     }
@@ -332,7 +332,7 @@
     /// has responded: the clock of each incarnation starts anew.
     pub fn is_other_incarnation(&self, sent: Time, clock_ms: u64) -> bool {
         let may_return = incarnation::started_at(&self.registration.executor).is_some();
-        may_return && self.clock.is_some_and(|clock| clock_ms < clock.earliest(sent))
+        may_return && self.clock.is_some_and(|clock| clock_ms < clock.least_reading(sent))
     }
 
     /// Stores a reading of its clock.
--- a/crates/borageswitch_scheduler/src/reducer/hosts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/hosts.rs
@@ -1,7 +1,7 @@
-//! Hosts are emptied and then get their orders.
+//! Drains hosts, then sends the platform orders for them.
 //!
-//! An order ends everything that runs on its host, so a host is emptied first: nothing new is
-//! placed on it, short runs end by themselves, lasting ones move one after the other.
+//! An order ends everything that runs on its host, so the host is drained first: nothing new is
+//! placed on it, short runs end by themselves, and lasting runs move one after the other.
 
 use std::time::Duration;
 
@@ -18,16 +18,17 @@
     reducer::{Scheduler, crashes::EndDetection},
 };
 
-/// How long after an order without an answer, or one that was refused for the moment, it is given
-/// again; the pause doubles with each order after the second.
-const REPEAT_ORDER: Duration = Duration::from_millis(500);
-/// The longest pause between two orders for a host: a platform that is back is used soon after.
-const LONGEST_REPEAT: Duration = Duration::from_millis(4_000);
-/// A host that has not come back from a move after this time, many times what a move takes, is not
-/// counted on any more.
-const MOVE_OVERDUE: Duration = Duration::from_secs(30);
+/// The delay before an order that got no response, or was temporarily rejected, is repeated; it
+/// doubles with each order after the second.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The maximum delay between two orders for a host, so that a platform that has recovered is used
+/// soon.
+const MAX_ORDER_RETRY_DELAY: Duration = Duration::from_millis(4_000);
+/// The time after which a host that has not returned from a move is no longer expected; many times
+/// the duration of a move.
+const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a host is emptied for.
+/// Why a host is drained. Operators see the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Maintenance as part of a wave.
@@ -36,24 +37,25 @@
     Move(PoolName),
 }
 
-/// How far it is.
+/// The progress of a withdrawal. Operators see the names of variants and fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its runs end or move away. No order is given before this time.
+    /// Its runs end or move away. No order is sent before `not_before`.
     Emptying {
-        /// The platform has called the host busy; until then it would say so again.
+        /// When the next order may be sent: the platform has reported the host as busy, and would
+        /// do so again before.
         not_before: Time,
     },
-    /// The order was given, last at this time.
+    /// An order was recorded or sent.
     Ordered {
-        /// When.
+        /// When the order was last recorded, sent, or answered with a request to retry.
         at: Time,
-        /// Nothing is on its way: the answer said to try again, or there was none.
+        /// No order is in flight: the response asked for a retry, or there was none.
         answered: bool,
     },
     /// The platform has begun; the host is away.
     Away {
-        /// When the answer came.
+        /// When the response arrived.
         since: Time,
     },
 }
@@ -61,50 +63,50 @@
 /// A host that is taken out of service for a while.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Withdrawal {
-    /// What for.
+    /// Why the host is withdrawn.
     pub purpose: Purpose,
-    /// How far it is.
+    /// The progress of the withdrawal.
     pub stage: Stage,
-    /// The executor that was emptied for the order.
-    pub emptied: Option<ExecutorName>,
-    /// How many orders in a row have come to nothing.
+    /// The executor that was drained for the order.
+    pub drained: Option<ExecutorName>,
+    /// The number of consecutive orders without effect.
     pub failed: u32,
 }
 
 impl Withdrawal {
-    /// The pause before the next order.
-    fn pause(&self) -> Duration {
-        (REPEAT_ORDER * (1 << self.failed.saturating_sub(2).min(3))).min(LONGEST_REPEAT)
+    /// The delay before the next order.
+    fn retry_delay(&self) -> Duration {
+        (ORDER_RETRY_DELAY * (1 << self.failed.saturating_sub(2).min(3))).min(MAX_ORDER_RETRY_DELAY)
     }
 
-    /// Whether an order for the host has left, answered or not.
-    pub(super) fn is_under_way(&self) -> bool {
+    /// Whether an order for the host was recorded or sent, whether or not it was answered.
+    pub(super) fn is_ordered(&self) -> bool {
         !matches!(self.stage, Stage::Emptying { .. })
     }
 }
 
 impl Scheduler {
-    pub(super) fn step_fleet(&mut self, now: Now) {
+    pub(super) fn advance_fleet(&mut self, now: Now) {
         self.list_hosts(now);
-        self.note_away(now);
-        self.step_waves(now);
+        self.update_unavailable(now);
+        self.advance_waves(now);
         self.lend_hosts(now);
         let hosts: Vec<HostName> = self.fleet.withdrawals.keys().cloned().collect();
         for host in hosts {
-            self.step_host(now, &host);
+            self.advance_host(now, &host);
         }
     }
 
-    /// Hosts that were away and are listed as up again are in service.
-    pub(super) fn take_back(&mut self, listed: Time) {
+    /// Ends the withdrawal of hosts that were away and are listed as up again.
+    pub(super) fn return_to_service(&mut self, listed: Time) {
         let hosts = &self.fleet.hosts;
-        let back = |host: &HostName, withdrawal: &Withdrawal| {
+        let returned = |host: &HostName, withdrawal: &Withdrawal| {
             let entry = hosts.get(host);
             let up = entry.is_none_or(|entry| entry.state == HostState::Up);
             match withdrawal.stage {
                 Stage::Emptying { .. } => false,
                 Stage::Away { since } => up && listed > since,
-                // The answer was lost, and the host is where it was to go.
+                // The response was lost, and the host is in the pool that it was to move to.
                 Stage::Ordered { at, answered } => {
                     let there =
                         |entry: &HostEntry| withdrawal.purpose == Purpose::Move(entry.pool.clone());
@@ -112,20 +114,20 @@
                 }
             }
         };
-        let back: Vec<HostName> = self
+        let returned: Vec<HostName> = self
             .fleet
             .withdrawals
             .iter()
-            .filter(|(h, d)| back(h, d))
+            .filter(|(h, d)| returned(h, d))
             .map(|(h, _)| h.clone())
             .collect();
-        for host in back {
+        for host in returned {
             self.fleet.withdrawals.remove(&host);
             self.log("host-back", &host, String::new);
         }
     }
 
-    /// Begins to empty a host.
+    /// Begins to drain a host.
     pub(super) fn withdraw(&mut self, now: Now, host: &HostName, purpose: Purpose) {
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         self.log("host-emptied", host, || {
@@ -133,12 +135,12 @@
             format!("for={purpose:?} executor={executor}")
         });
         let stage = Stage::Emptying { not_before: now.time };
-        let withdrawal = Withdrawal { purpose, stage, emptied: None, failed: 0 };
+        let withdrawal = Withdrawal { purpose, stage, drained: None, failed: 0 };
         self.fleet.withdrawals.insert(host.clone(), withdrawal);
-        self.step_host(now, host);
+        self.advance_host(now, host);
     }
 
-    fn step_host(&mut self, now: Now, host: &HostName) {
+    fn advance_host(&mut self, now: Now, host: &HostName) {
         let Some(withdrawal) = self.fleet.withdrawals.get(host) else { return };
         let Some(entry) = self.fleet.hosts.get(host).cloned() else {
             self.fleet.withdrawals.remove(host);
@@ -147,13 +149,13 @@
         match withdrawal.stage {
             Stage::Away { since } => {
                 let moves = matches!(withdrawal.purpose, Purpose::Move(_));
-                if moves && now.time.since(since) >= MOVE_OVERDUE {
+                if moves && now.time.since(since) >= MOVE_TIMEOUT {
                     self.fleet.withdrawals.remove(host);
                     self.log("host-overdue", host, || format!("state={}", entry.state));
                 }
             }
             Stage::Ordered { at, answered } => {
-                if answered && now.time.since(at) >= withdrawal.pause() {
+                if answered && now.time.since(at) >= withdrawal.retry_delay() {
                     self.repeat_order(now, host);
                 }
             }
@@ -161,42 +163,42 @@
                 if entry.state != HostState::Up {
                     return;
                 }
-                // A host that is off has nothing to be emptied of.
+                // A host that is off needs no drain.
                 let executor = entry.executor.clone();
                 if let Some(executor) = &executor {
-                    self.empty(now, executor);
+                    self.drain_executor(now, executor);
                 }
-                let empty = executor.is_none_or(|executor| self.is_empty(&executor));
-                if empty && now.time >= not_before {
-                    self.give_order(now, host);
+                let ready = executor.is_none_or(|executor| self.is_drained(&executor));
+                if ready && now.time >= not_before {
+                    self.record_host_order(now, host);
                 }
             }
         }
     }
 
-    /// Gives an order once more. Where another executor has come meanwhile, by the order itself or
-    /// after a crash, that one is emptied first: it takes tasks as any other, and the order would
-    /// end them.
+    /// Repeats an order. If the host has a new executor meanwhile, because of the order itself or
+    /// after a crash, that executor is drained first: it takes tasks like any other, and the order
+    /// would end them.
     fn repeat_order(&mut self, now: Now, host: &HostName) {
         let current = self.fleet.hosts.get(host).and_then(|entry| entry.executor.as_ref());
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
-        if current.is_some() && current != withdrawal.emptied.as_ref() {
+        if current.is_some() && current != withdrawal.drained.as_ref() {
             withdrawal.stage = Stage::Emptying { not_before: now.time };
         } else {
-            self.give_order(now, host);
+            self.record_host_order(now, host);
         }
     }
 
-    /// Has an order stored as given; it leaves after that, so that whoever leads next knows of it.
-    fn give_order(&mut self, now: Now, host: &HostName) {
-        if self.is_paused(now.time, host) || !self.take_host_call(now.time) {
+    /// Records an order for a host; it is sent once stored, so that the next leader knows of it.
+    fn record_host_order(&mut self, now: Now, host: &HostName) {
+        if self.is_order_paused(now.time, host) || !self.take_host_call(now.time) {
             return;
         }
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
         withdrawal.stage = Stage::Ordered { at: now.time, answered: false };
-        withdrawal.emptied = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
+        withdrawal.drained = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         self.record(Record::HostOrdered { host: host.clone() });
-        self.outbox.then_order_host(host.clone());
+        self.outbox.defer_host_order(host.clone());
     }
 
     pub(super) fn send_host_order(&mut self, now: Now, host: &HostName) {
@@ -209,24 +211,24 @@
         self.effects.push(Effect::OrderHost(host.clone(), order));
     }
 
-    /// Whether an earlier leader has ordered a host about so lately that its orders may still be on
-    /// their way. Where the platform does not check tokens, an order of ours would cross them.
-    pub(super) fn is_paused(&self, now: Time, host: &HostName) -> bool {
-        self.inherited_orders
+    /// Whether an earlier leader sent orders for a host so recently that they may still be in
+    /// flight. Where the platform does not check fencing tokens, a new order could cross with them.
+    pub(super) fn is_order_paused(&self, now: Time, host: &HostName) -> bool {
+        self.inherited_host_orders
             .get(host)
-            .is_some_and(|age| *age + now.since(self.began) < self.limits.host_order_pause)
+            .is_some_and(|age| *age + now.since(self.took_over_at) < self.limits.host_order_pause)
     }
 
-    /// How long this leader has led, in milliseconds.
+    /// How long this leader has been leading, in milliseconds.
     pub(super) fn led_millis(&self, now: Time) -> u64 {
-        now.since(self.began).as_millis() as u64
+        now.since(self.took_over_at).as_millis() as u64
     }
 
     pub(super) fn host_answered(&mut self, now: Now, host: &HostName, answer: HostOrderResponse) {
         let millis = self.led_millis(now.time);
         let Some(withdrawal) = self.fleet.withdrawals.get_mut(host) else { return };
         let purpose = withdrawal.purpose.clone();
-        let emptied = withdrawal.emptied.clone();
+        let drained = withdrawal.drained.clone();
         if answer != HostOrderResponse::Lost {
             self.record(Record::HostOrderAnswered { host: host.clone(), millis });
         }
@@ -237,9 +239,10 @@
                 if let Purpose::Maintain(wave) = purpose {
                     self.record(Record::Maintained { wave, host: host.clone() });
                 }
-                // Not whichever executor the host has now: after an answer that was lost, that is
-                // the one that came with the order. Taken for ended, its tasks would run twice.
-                if let Some(executor) = emptied {
+                // This is not necessarily the host's current executor: after a lost response, that
+                // is the one that came with the order. If it were taken for ended, its tasks would
+                // run twice.
+                if let Some(executor) = drained {
                     self.end_incarnation(now, &executor, EndDetection::HostOrderCompleted);
                 }
             }
@@ -249,22 +252,24 @@
             }
             HostOrderResponse::Busy => {
                 withdrawal.failed += 1;
-                let not_before = now.time + withdrawal.pause();
+                let not_before = now.time + withdrawal.retry_delay();
                 withdrawal.stage = Stage::Emptying { not_before };
             }
             HostOrderResponse::Impossible => {
                 if let (Purpose::Move(pool), Some(entry)) = (&purpose, self.fleet.hosts.get(host)) {
                     self.lending.note_unfit(entry, pool);
                 }
-                self.give_back(host);
+                self.cancel_withdrawal(host);
+            }
+            HostOrderResponse::NotOfWave | HostOrderResponse::Fenced => {
+                self.cancel_withdrawal(host);
             }
-            HostOrderResponse::NotOfWave | HostOrderResponse::Fenced => self.give_back(host),
         }
         self.log("host-order", host, || format!("purpose={purpose:?} answer={answer}"));
     }
 
-    /// A host that was chosen stays in service after all.
-    fn give_back(&mut self, host: &HostName) {
+    /// Cancels a withdrawal; the host stays in service.
+    fn cancel_withdrawal(&mut self, host: &HostName) {
         self.fleet.withdrawals.remove(host);
         let executor = self.fleet.hosts.get(host).and_then(|entry| entry.executor.clone());
         let known = executor.and_then(|executor| self.executors.get_mut(&executor));
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -79,10 +79,10 @@
         }
         self.init_job_state(now, &submission);
         self.charge_job_share(now, &submission);
-        self.waiting.note(&job);
+        self.waiting.mark_stale(&job);
         if let Some(pool) = self.pool_of(&job).cloned() {
             self.note_arrival(now, &pool, &submission);
-            self.stirred.insert(pool);
+            self.dirty_pools.insert(pool);
         }
         self.log("job-known", &job, || {
             let age = now.wall.0.saturating_sub(submission.accepted.0);
@@ -149,7 +149,7 @@
             self.init_job_state(now, &submission);
         }
         for job in self.ledger.jobs.keys() {
-            self.waiting.note(job);
+            self.waiting.mark_stale(job);
         }
     }
 
@@ -161,7 +161,7 @@
 
     /// Finishes jobs that are done, have a task that failed too often, or were given up.
     pub(super) fn finish_jobs(&mut self, now: Now) {
-        for name in std::mem::take(&mut self.touched) {
+        for name in std::mem::take(&mut self.maybe_ended) {
             let Some(job) = self.ledger.jobs.get(&name) else { continue };
             let attempts =
                 self.times.get(&name).map_or(u16::MAX, |job_state| job_state.max_attempts);
@@ -185,15 +185,15 @@
                 took.unwrap_or_default().as_millis()
             )
         });
-        self.stir_pool_of(job);
-        self.ending.insert(job.clone(), self.outbox.next_append());
+        self.mark_pool_dirty(job);
+        self.ending_jobs.insert(job.clone(), self.outbox.next_append());
         for record in self.leftovers_of(job) {
             self.record(record);
         }
         self.record(Record::Finished { job: job.clone(), queue, outcome, at: now.wall });
-        self.outbox.then_show_end(job.clone());
+        self.outbox.defer_show_end(job.clone());
         self.times.remove(job);
-        self.stop_all_of(now, job);
+        self.stop_runs_of(now, job);
     }
 
     /// The runs of a job that still count for its caller's quota after the job has ended.
@@ -225,7 +225,7 @@
         for (job, occurrence) in due {
             self.log("occurrence-due", &job, || format!("occurrence={occurrence}"));
             self.record(Record::Due { job: job.clone(), occurrence });
-            self.stir_pool_of(&job);
+            self.mark_pool_dirty(&job);
         }
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
@@ -34,7 +34,7 @@
     }
 
     fn release_expired_runs(&mut self, now: Now, executor: &ExecutorName) {
-        let listed_up = self.fleet.seen_up(executor);
+        let listed_up = self.fleet.last_listed(executor);
         let Some(known) = self.executors.get_mut(executor) else { return };
         let tasks: Vec<TaskKey> = known
             .runs
@@ -83,7 +83,7 @@
 
     /// Records once how an incarnation has ended, and what it was running.
     fn note_executor_end(&mut self, now: Now, executor: &ExecutorName, detection: EndDetection) {
-        let listed_up = self.fleet.seen_up(executor);
+        let listed_up = self.fleet.last_listed(executor);
         let known = self.executors.get_mut(executor).filter(|known| !known.ended);
         let Some(known) = known else { return };
         known.is_registered = false;
@@ -96,7 +96,7 @@
     /// Handles the restart of an executor under its name: moves runs that the later incarnation may
     /// have started to that one, and releases all others.
     pub(super) fn carry_over(&mut self, now: Now, before: &ExecutorName, next: &ExecutorName) {
-        let host = self.fleet.fate_of(before);
+        let host = self.fleet.host_outcome(before);
         self.note_executor_end(now, before, EndDetection::Restarted(host.clone()));
         let Some(known) = self.executors.get(before) else { return };
         let inherited_until = known.inherited_until;
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -22,7 +22,8 @@
         peaks::{self, Peak},
     },
     reducer::{
-        Scheduler, executors::Executor, hosts::Purpose, places::reserved, waiting::unblocked_steps,
+        Scheduler, executors::Executor, hosts::Purpose, places::reserved_size,
+        waiting::unblocked_steps,
     },
 };
 
@@ -52,7 +53,7 @@
 
 impl PoolNeeds {
     fn add(&mut self, step: &Step, waiting: u64) {
-        let size = reserved(step);
+        let size = reserved_size(step);
         let waiting_size = size.times(waiting);
         let apart = step.max_per_host.map_or(0, |most| step.count.div_ceil(most) as usize);
         let need = match &step.label {
@@ -135,13 +136,16 @@
         let largest = self.lending.largest_peak();
         let first_work = self.lending.first_short_work;
         let peaks_unknown = first_work.is_none_or(|first| now.time.since(first) < horizon);
-        let term_age = now.time.since(self.began);
+        let term_age = now.time.since(self.took_over_at);
         for load in loads {
             let peak = self.lending.peaks.get(&load.pool).map_or(0, Peak::hosts);
             let rate = self.lending.arrivals.get(&load.pool);
             let is_learning = arrivals::is_learning(term_age, rate, now.time);
             load.min_powered_on = if is_learning {
-                peaks::hosts_kept_while_learning(fleet_move_time, first_work.is_some().then_some(largest))
+                peaks::hosts_kept_while_learning(
+                    fleet_move_time,
+                    first_work.is_some().then_some(largest),
+                )
             } else if peaks_unknown {
                 largest
             } else {
@@ -152,7 +156,7 @@
 
     /// Moves hosts to the pools that need them.
     pub(super) fn lend_hosts(&mut self, now: Now) {
-        if self.fleet.listed.is_none_or(|listed| listed < self.began) {
+        if self.fleet.listed.is_none_or(|listed| listed < self.took_over_at) {
             return;
         }
         let mut loads = self.pool_loads(now);
@@ -207,8 +211,8 @@
                     busy: Vec::new(),
                     demand: needs.whole,
                     label_demands: labelled.collect(),
-                    missing_for_lasting: self.hosts_for_lasting(&pool.name, &members, &host),
-                    missing_for_gang: self.hosts_for_gang(&pool.name, &members, &host),
+                    missing_for_lasting: self.extra_hosts_for_lasting(&pool.name, &members, &host),
+                    missing_for_gang: self.extra_hosts_for_gang(&pool.name, &members, &host),
                     hosts_by_label: count_labels(&members),
                     data_racks: needs.data_racks,
                     arriving_cores: rate.map_or(0.0, |rate| rate.expected_cores(now.time)),
@@ -228,7 +232,7 @@
                 known.used();
         }
         // Hosts that were moved for tasks whose callers are at their quota would be idle.
-        let mut dealing = self.dealing();
+        let mut dealing = self.quota_allocation();
         for (name, job) in &self.ledger.jobs {
             let Some(job_state) = self.times.get(name) else { continue };
             let pool = needs.entry(job_state.pool.clone()).or_default();
@@ -269,7 +273,7 @@
         let free = in_pool.iter().filter(|entry| {
             entry.state == HostState::Up
                 && !self.fleet.withdrawals.contains_key(&entry.host)
-                && !self.is_paused(now, &entry.host)
+                && !self.is_order_paused(now, &entry.host)
         });
         let idle = free.filter_map(|entry| {
             let idle = if standby {
@@ -279,7 +283,7 @@
                 if !known.is_registered || !known.fenced || !known.runs.is_empty() {
                     return None;
                 }
-                if self.waits_for_gang(&entry.pool, entry.executor.as_ref()?) {
+                if self.is_needed_by_gang(&entry.pool, entry.executor.as_ref()?) {
                     return None;
                 }
                 now.since(known.idle_since)
@@ -299,7 +303,7 @@
             });
             only_short
                 && !self.fleet.withdrawals.contains_key(&entry.host)
-                && !self.is_paused(now, &entry.host)
+                && !self.is_order_paused(now, &entry.host)
         });
         busy.map(|entry| self.lendable(entry, Duration::ZERO)).collect()
     }
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a step may go.
+//! Executors on which the tasks of a step may be placed.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,36 +11,36 @@
         crash_attribution::SuspicionLevel,
         placement::{self, Candidate},
     },
-    reducer::{Scheduler, executors::Executor, rooms::Room},
+    reducer::{Scheduler, executors::Executor, free_capacity::FreeCapacity},
     task::{StepKey, TaskKey},
 };
 
-/// Where one task of a step may go.
+/// An executor on which tasks of a step may be placed.
 #[derive(Debug)]
 struct Place {
     executor: ExecutorName,
     rack: Option<Arc<str>>,
     candidate: Candidate<usize>,
-    /// How many more tasks of the step it may have.
-    more: Option<usize>,
+    /// How many more tasks of the step may be placed there.
+    remaining: Option<usize>,
 }
 
-/// Where the tasks of one step may go.
+/// The executors on which tasks of one step may be placed.
 ///
-/// A rush has hundreds of tasks waiting for a hundred hosts. What the tasks of a step have in common
-/// is looked up once for all of them: looked up for each, it would take a third of the leader's time,
-/// and a leader on a weak host would come late with everything.
+/// During a load peak hundreds of tasks wait for a hundred hosts. What the tasks of a step have in
+/// common is therefore determined once for all of them: doing it for each would take a third of the
+/// leader's time, and a leader on a slow host would fall behind.
 #[derive(Debug)]
 pub(super) struct Places {
     places: Vec<Place>,
     lasting: bool,
-    fills: bool,
+    best_effort: bool,
 }
 
 impl Places {
-    /// Gives the best place to a task.
+    /// Assigns the best place to a task.
     pub(super) fn take(&mut self, size: &Size, standing: SuspicionLevel) -> Option<ExecutorName> {
-        let open = self.places.iter().filter(|place| place.more != Some(0));
+        let open = self.places.iter().filter(|place| place.remaining != Some(0));
         let open = open.map(|place| place.candidate);
         let best = match standing {
             SuspicionLevel::Clear | SuspicionLevel::Suspect => placement::choose(size, open)?,
@@ -52,11 +52,11 @@
         place.candidate.tasks += 1;
         place.candidate.free = place.candidate.free.less(size);
         place.candidate.in_use = true;
-        place.candidate.siblings += usize::from(self.fills);
-        place.more = match standing {
-            // Nothing is started beside it for a while.
+        place.candidate.siblings += usize::from(self.best_effort);
+        place.remaining = match standing {
+            // Nothing is started beside an isolated task for a while.
             SuspicionLevel::Isolated => Some(0),
-            _ => place.more.map(|more| more - 1),
+            _ => place.remaining.map(|remaining| remaining - 1),
         };
         let (executor, rack) = (place.executor.clone(), place.rack.clone());
         if self.lasting {
@@ -68,8 +68,9 @@
 }
 
 impl Scheduler {
-    /// Whether a task of a step may run on an executor, however much room there is: by its label,
-    /// by how many of its step are `planned` there besides those that it has, and by the advisor.
+    /// Whether a task of a step may run on an executor, regardless of free capacity: checks the
+    /// label, the limit per host counting `planned` tasks besides those already there, and the
+    /// advisor's permission.
     pub(super) fn may_run_on(
         &self,
         now: Now,
@@ -85,9 +86,15 @@
             && (!ticketed || self.advice.ticket(key, executor, now.time).is_some())
     }
 
-    /// Where tasks of a step may go.
-    pub(super) fn places(&self, now: Now, key: &StepKey, step: &Step, room: &Room) -> Places {
-        let size = reserved(step);
+    /// Collects the executors on which tasks of a step may be placed.
+    pub(super) fn places(
+        &self,
+        now: Now,
+        key: &StepKey,
+        step: &Step,
+        available: &FreeCapacity,
+    ) -> Places {
+        let size = reserved_size(step);
         let avoid = self.times.get(&key.job).and_then(|times| times.failed_on.as_ref());
         let counts_siblings = step.best_effort || step.max_per_host.is_some();
         let by_rack = self.siblings_by_rack(key, step);
@@ -95,25 +102,26 @@
         let isolated =
             tasks.into_iter().any(|(_, c)| SuspicionLevel::of(c) == SuspicionLevel::Isolated);
         let mut places = Vec::new();
-        // Most hosts of a pool in its rush are full, and are told by their room alone.
-        for (executor, free) in room.iter().filter(|(_, free)| free.holds(&size)) {
+        // Most hosts of a pool at its load peak are full, so filtering by free capacity first is
+        // cheap.
+        for (executor, free) in available.iter().filter(|(_, free)| free.holds(&size)) {
             let Some(known) = self.executors.get(executor) else { continue };
             if !self.may_run_on(now, key, step, executor, 0) {
                 continue;
             }
-            let there = if counts_siblings { siblings(known, key) } else { 0 };
+            let existing = if counts_siblings { siblings(known, key) } else { 0 };
             let candidate = Candidate {
                 id: places.len(),
                 free: *free,
                 suspects: self.suspects.count_on(executor),
                 crash_prone: isolated && self.is_unsteady(now, executor),
                 tasks: known.runs.len(),
-                interferes: disturbs(step, known),
+                interferes: interferes(step, known),
                 wastes_scarce: step.label.is_none()
                     && self.fleet.is_scarce(&known.registration.labels),
-                preferred: is_near(step, known) && avoid != Some(executor),
+                preferred: is_near_data(step, known) && avoid != Some(executor),
                 in_use: !known.runs.is_empty(),
-                siblings: if step.best_effort { there } else { 0 },
+                siblings: if step.best_effort { existing } else { 0 },
                 rack_siblings: known
                     .registration
                     .rack()
@@ -124,13 +132,13 @@
                 executor: executor.clone(),
                 rack: known.registration.rack().cloned(),
                 candidate,
-                more: step.max_per_host.map(|most| (most as usize).saturating_sub(there)),
+                remaining: step.max_per_host.map(|most| (most as usize).saturating_sub(existing)),
             });
         }
-        Places { places, lasting: step.lasting, fills: step.best_effort }
+        Places { places, lasting: step.lasting, best_effort: step.best_effort }
     }
 
-    /// Tasks of the same step in each rack; counted only where it matters.
+    /// The number of tasks of the same step in each rack; only counted for lasting steps.
     fn siblings_by_rack(&self, key: &StepKey, step: &Step) -> BTreeMap<Arc<str>, usize> {
         let mut by_rack = BTreeMap::new();
         if !step.lasting {
@@ -147,13 +155,13 @@
     }
 }
 
-/// The room that a task of a step takes.
-pub(super) fn reserved(step: &Step) -> Size {
+/// The capacity that a task of a step reserves.
+pub(super) fn reserved_size(step: &Step) -> Size {
     let cpu_milli = if step.best_effort { 0 } else { step.size.cpu_milli };
     Size { cpu_milli, ..step.size }
 }
 
-/// How many tasks of a step an executor has.
+/// The number of tasks of a step on an executor.
 pub(super) fn siblings(known: &Executor, key: &StepKey) -> usize {
     let of_step = |task: &&TaskKey| {
         task.step == key.step && task.occurrence == key.occurrence && task.job == key.job
@@ -162,13 +170,13 @@
     from.take_while(of_step).count()
 }
 
-/// Whether a step may run on an executor, as far as labels go.
+/// Whether an executor has the label that a step requires.
 pub(super) fn fits_labels(step: &Step, known: &Executor) -> bool {
     step.label.as_ref().is_none_or(|label| known.registration.has_label(label))
 }
 
-/// Whether a task that fills gaps would come beside one that serves users, or the other way round.
-fn disturbs(step: &Step, known: &Executor) -> bool {
+/// Whether a best-effort task would be placed beside one that serves users, or the reverse.
+fn interferes(step: &Step, known: &Executor) -> bool {
     let serves = step.target_tail.is_some() && !step.best_effort;
     let mut others = known.runs.values();
     if step.best_effort {
@@ -178,6 +186,6 @@
     }
 }
 
-fn is_near(step: &Step, known: &Executor) -> bool {
+fn is_near_data(step: &Step, known: &Executor) -> bool {
     step.data_rack.as_ref().is_none_or(|rack| known.registration.is_in_rack(rack))
 }
--- a/crates/borageswitch_scheduler/src/reducer/polls.rs
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -56,7 +56,7 @@
     }
 
     fn due_polls(&mut self, now: Now, sweep: bool) -> Vec<(ExecutorName, PollOrder)> {
-        let mut candidates = std::mem::take(&mut self.unlooked);
+        let mut candidates = std::mem::take(&mut self.poll_candidates);
         let due = |known: &Executor| due_poll(known, now.time, &self.limits);
         if sweep {
             let all = self.executors.iter();
@@ -128,7 +128,7 @@
                 let lease = self.limits.inherited_lease.as_millis() as u64;
                 known.lease_until_ms = known.lease_until_ms.max(report.clock_ms + lease);
             }
-            self.stirred.insert(known.registration.pool.clone());
+            self.dirty_pools.insert(known.registration.pool.clone());
         }
         // Responses may arrive out of order: an older one says nothing about the present runs.
         let newest = known.polling.last_answered_sent.is_none_or(|answered| sent >= answered);
@@ -141,7 +141,7 @@
         self.apply_ends(now, executor, report);
         if newest {
             self.reconcile(now, executor, sent, report);
-            self.pace_neighbours(executor);
+            self.adjust_speed_limits(executor);
         }
     }
 
@@ -273,8 +273,8 @@
 
 fn poll_wait(known: &Executor, limits: &Limits) -> Duration {
     if known.runs.values().any(|held| held.target_tail.is_some()) {
-        SERVING_POLL_WAIT.min(limits.look_wait)
+        SERVING_POLL_WAIT.min(limits.poll_wait)
     } else {
-        limits.look_wait
+        limits.poll_wait
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/evict.rs
+++ b/crates/borageswitch_scheduler/src/reducer/preemption.rs
@@ -1,8 +1,9 @@
-//! Makes room for lasting tasks.
+//! Preempts short runs for lasting tasks.
 //!
-//! The load: a pool is full of short tasks when a lasting task, which serves its own users, loses
-//! its host. Waiting for room to come free by chance, it competes with hundreds of short tasks that
-//! fit into smaller gaps, and its users are without service for as long as the rush lasts.
+//! A lasting task, which serves its own users, may lose its host while its pool is full of short
+//! tasks. If it waited for capacity to become free by chance, it would compete with hundreds of
+//! short tasks that fit into smaller gaps, and its users would be without service for as long as
+//! the load peak lasts.
 
 use borageswitch_types::{
     Time,
@@ -15,25 +16,25 @@
     reducer::{
         Scheduler,
         executors::{Executor, HeldRun, Phase},
-        places::reserved,
+        places::reserved_size,
     },
     task::TaskKey,
 };
 
 impl Scheduler {
-    /// Stops the short runs whose loss is least on one executor, so that a lasting task fits there.
+    /// Stops the short runs with the least loss on one executor, so that a lasting task fits there.
     ///
-    /// Does nothing while room is on its way somewhere.
-    pub(super) fn make_room(&mut self, now: Now, pool: &PoolName, task: &TaskKey, step: &Step) {
+    /// Does nothing while runs that are already being stopped will free enough capacity somewhere.
+    pub(super) fn preempt_for(&mut self, now: Now, pool: &PoolName, task: &TaskKey, step: &Step) {
         let key = task.step_key();
-        let size = reserved(step);
+        let size = reserved_size(step);
         let suitable: Vec<(&ExecutorName, &Executor)> = self
             .executors
             .of_pool(pool)
             .filter(|(_, known)| known.accepts_runs(now.time))
             .filter(|(executor, _)| self.may_run_on(now, &key, step, executor, 0))
             .collect();
-        if suitable.iter().any(|(_, known)| room_to_come(known).holds(&size)) {
+        if suitable.iter().any(|(_, known)| free_after_stops(known).holds(&size)) {
             return;
         }
         let cheapest = suitable
@@ -54,31 +55,31 @@
     }
 }
 
-/// The room once everything that is being stopped has ended.
-fn room_to_come(known: &Executor) -> Size {
-    let mut room = known.free();
+/// The free capacity once all runs that are being stopped have ended.
+fn free_after_stops(known: &Executor) -> Size {
+    let mut available = known.free();
     for held in known.runs.values().filter(|held| held.phase == Phase::Stopping) {
-        room += held.size;
+        available += held.size;
     }
-    room
+    available
 }
 
-/// The short runs to stop for `size`, with the core-milliseconds that each has worked, the least
-/// first; nothing if not enough of them are there.
+/// The short runs to stop for `size` in ascending order of loss, each with the core-milliseconds
+/// that it has worked; `None` if they do not free enough.
 fn victims(known: &Executor, size: &Size, now: Time) -> Option<Vec<(TaskKey, u64)>> {
     let loss =
         |held: &HeldRun| held.size.cpu_milli * now.since(held.started).as_millis() as u64 / 1_000;
     let short = known.runs.iter().filter(|(_, h)| !h.lasting && h.phase == Phase::Active);
     let mut short: Vec<(&TaskKey, &HeldRun)> = short.collect();
     short.sort_by_key(|(_, held)| loss(held));
-    let mut room = room_to_come(known);
+    let mut available = free_after_stops(known);
     let mut victims = Vec::new();
     for (task, held) in short {
-        if room.holds(size) {
+        if available.holds(size) {
             break;
         }
-        room += held.size;
+        available += held.size;
         victims.push((task.clone(), loss(held)));
     }
-    room.holds(size).then_some(victims)
+    available.holds(size).then_some(victims)
 }
--- a/crates/borageswitch_scheduler/src/reducer/quotas.rs
+++ b/crates/borageswitch_scheduler/src/reducer/quotas.rs
@@ -1,7 +1,8 @@
-//! Callers are held to their quotas; how, [`crate::policy::quotas`] says.
+//! Enforces the quotas of callers, as decided by [`crate::policy::quotas`].
 //!
-//! What a caller uses is counted with its runs in the table of executors, so whatever ends a run or
-//! proves that it never began gives its part back, and a new leader counts what it inherits.
+//! A caller's usage is counted with its runs in the executor table. Whatever ends a run, or proves
+//! that it never started, therefore releases its part, and a new leader counts the runs that it
+//! inherits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,25 +17,25 @@
     reducer::{Scheduler, waiting::WaitingStep},
 };
 
-/// The shortest time between two lines about one caller.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+/// The minimum interval between two log lines about one caller.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For which hosts tasks of a caller wait: those of a pool, with a label or any.
-type Wanted<'a> = (&'a CallerName, &'a PoolName, Option<&'a str>);
+/// The hosts for which tasks of a caller wait: those of a pool, with a label or any.
+type HostKind<'a> = (&'a CallerName, &'a PoolName, Option<&'a str>);
 
-/// What callers may start, while it is dealt out to the tasks that wait.
+/// Allocates to waiting tasks what their callers may start.
 ///
-/// Each kind of hosts for which a caller's tasks wait is dealt all that the caller may start: where
-/// these tasks can run is not known here. Dealt out once for all of them, it would go to tasks that
-/// find no host, and none would be fetched for the others, which then wait for ever.
+/// Each kind of host for which a caller's tasks wait is allocated all that the caller may start, as
+/// it is not known here where these tasks can run. A single allocation for all kinds could go to
+/// tasks that find no host; no host would be fetched for the others, and they would wait forever.
 #[derive(Debug)]
-pub(super) struct Dealing<'a> {
+pub(super) struct QuotaAllocation<'a> {
     scheduler: &'a Scheduler,
-    dealt: BTreeMap<Wanted<'a>, Size>,
+    allocated: BTreeMap<HostKind<'a>, Size>,
 }
 
-impl<'a> Dealing<'a> {
-    /// Takes as much as a caller's tasks of one size may, of so many.
+impl<'a> QuotaAllocation<'a> {
+    /// Allocates as many of `tasks` tasks of one size as the caller's quota permits.
     pub(super) fn take(
         &mut self,
         job: &'a Job,
@@ -44,34 +45,34 @@
     ) -> u64 {
         let Some(caller) = &job.submission.caller else { return tasks };
         let Some(quota) = self.scheduler.quota_of(caller) else { return tasks };
-        let dealt = self.dealt.entry((caller, pool, step.label.as_deref())).or_default();
-        let used = self.scheduler.executors.usage().of(caller).size + *dealt;
+        let allocated = self.allocated.entry((caller, pool, step.label.as_deref())).or_default();
+        let used = self.scheduler.executors.usage().of(caller).size + *allocated;
         let left = quotas::startable(&quota, &used, &step.size);
         let taken = left.map_or(tasks, |left| tasks.min(left.with_overshoot));
-        *dealt += step.size.times(taken);
+        *allocated += step.size.times(taken);
         taken
     }
 }
 
 impl Scheduler {
-    /// What all callers may start as things stand.
-    pub(super) fn dealing(&self) -> Dealing<'_> {
-        Dealing { scheduler: self, dealt: BTreeMap::new() }
+    /// Begins an allocation of what all callers may start now.
+    pub(super) fn quota_allocation(&self) -> QuotaAllocation<'_> {
+        QuotaAllocation { scheduler: self, allocated: BTreeMap::new() }
     }
 
-    /// The quota of a caller by the configuration in force; nothing where it has none.
+    /// The quota of a caller in the current configuration; `None` if it has none.
     pub(super) fn quota_of(&self, caller: &CallerName) -> Option<Size> {
         let config = self.config.as_ref()?;
         Some(config.callers.get(caller)?.quota)
     }
 
-    /// How many waiting tasks of a step its caller's quota lets start now.
+    /// How many waiting tasks of a step the caller's quota permits to start now.
     pub(super) fn startable(&self, step: &WaitingStep) -> usize {
         let all = step.waiting.len();
         step.charge.as_ref().map_or(all, |charge| self.startable_of(charge, step.gang, all))
     }
 
-    /// How many of so many tasks of a caller its quota lets start now. Members of a gang start
+    /// How many of `all` tasks of a caller its quota permits to start now. Members of a gang start
     /// together or not at all.
     pub(super) fn startable_of(&self, charge: &Charge, gang: bool, all: usize) -> usize {
         let Some(quota) = self.quota_of(&charge.caller) else { return all };
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Tells which callers' share or quota a configuration changes.
-    pub(super) fn tell_callers(&mut self, fresh: &Config) {
+    /// Logs the callers whose share or quota a configuration changes.
+    pub(super) fn log_caller_changes(&mut self, fresh: &Config) {
         let known = self.config.clone();
         let before = |name| known.as_ref().and_then(|config| config.callers.get(name));
         for caller in fresh.callers.values().filter(|caller| before(&caller.name) != Some(caller)) {
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Tells at most once a second that a caller's tasks wait for its quota.
-    pub(super) fn tell_at_quota(&mut self, now: Now, step: &WaitingStep) {
+    /// Logs that a caller's tasks wait for its quota, at most once a second.
+    pub(super) fn log_at_quota(&mut self, now: Now, step: &WaitingStep) {
         let Some(charge) = &step.charge else { return };
-        let told = self.told_at_quota.get(&charge.caller);
-        if told.is_some_and(|at| now.time.since(*at) < LINE_INTERVAL) {
+        let logged = self.quota_logged.get(&charge.caller);
+        if logged.is_some_and(|at| now.time.since(*at) < LOG_INTERVAL) {
             return;
         }
         let caller = charge.caller.clone();
         let used = self.executors.usage().of(&caller);
         let quota = self.quota_of(&caller).unwrap_or_default();
         let version = self.config.as_ref().map_or(0, |config| config.version);
-        self.told_at_quota.insert(caller.clone(), now.time);
+        self.quota_logged.insert(caller.clone(), now.time);
         self.log("caller-at-quota", &caller, || {
             format!(
                 "used=[{}] quota=[{quota}] unanswered={} version={version} first={}",
--- a/crates/borageswitch_scheduler/src/reducer/registrations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/registrations.rs
@@ -59,17 +59,17 @@
     /// Handles the registration of a later incarnation of a known executor.
     fn handle_restart(&mut self, now: Now, before: &ExecutorName, registration: Registration) {
         let next = registration.executor.clone();
-        self.stirred.insert(registration.pool.clone());
+        self.dirty_pools.insert(registration.pool.clone());
         self.end_previous_incarnation(now, &registration);
         self.log("executor-restarted", &next, || format!("pool={}", registration.pool));
         self.executors.insert(Executor::new(registration, now.time));
-        self.fleet.note_life(&next);
+        self.fleet.note_incarnation(&next);
         self.carry_over(now, before, &next);
     }
 
     fn refresh_registration(&mut self, now: Now, registration: Registration) {
         let executor = registration.executor.clone();
-        self.stirred.insert(registration.pool.clone());
+        self.dirty_pools.insert(registration.pool.clone());
         self.end_previous_incarnation(now, &registration);
         match self.executors.get(&executor) {
             // A registration remains after its executor has ended.
@@ -94,7 +94,7 @@
                     format!("pool={} draining={}", registration.pool, registration.draining)
                 });
                 self.executors.insert(Executor::new(registration, now.time));
-                self.fleet.note_life(&executor);
+                self.fleet.note_incarnation(&executor);
             }
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/run_ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/run_ends.rs
@@ -19,14 +19,15 @@
         why: &'static str,
     ) {
         let Some(held) = self.executors.drop_run(executor, task) else { return };
-        self.starting.over(task, held.run);
+        self.pending_starts.finish(task, held.run);
         let Some(known) = self.executors.get(executor) else { return };
-        self.stirred.insert(known.registration.pool.clone());
+        self.dirty_pools.insert(known.registration.pool.clone());
         self.log("run-released", task, || {
             format!("run={} executor={executor} why={why}", held.run)
         });
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
-        let is_leftover = self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
+        let is_leftover =
+            self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
         if is_leftover || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
             self.record(Record::Released { task: task.clone(), run: held.run });
         }
@@ -35,7 +36,7 @@
     /// Records the end of a run that an executor has reported.
     pub(super) fn handle_run_end(&mut self, now: Now, executor: &ExecutorName, ended: &EndedRun) {
         let Some(known) = self.executors.get(executor) else { return };
-        self.starting.over(&ended.task, ended.run);
+        self.pending_starts.finish(&ended.task, ended.run);
         let is_held = known.runs.get(&ended.task).is_some_and(|held| held.run == ended.run);
         let held = is_held.then(|| self.executors.drop_run(executor, &ended.task)).flatten();
         let Some(known) = self.executors.get_mut(executor) else { return };
@@ -52,8 +53,8 @@
         if let Some(held) = held.filter(|_| ended.how == EndKind::Done) {
             self.learn_duration(now, &ended.task, &held);
         }
-        self.stirred.insert(pool);
-        self.touched.insert(ended.task.job.clone());
+        self.dirty_pools.insert(pool);
+        self.maybe_ended.insert(ended.task.job.clone());
         if let Some(job_state) = self.times.get_mut(&ended.task.job) {
             job_state.begun = true;
         }
@@ -68,8 +69,8 @@
             kind: ended.how,
             checkpoint: ended.checkpoint.clone(),
         });
-        self.outbox.then_acknowledge(executor.clone(), ended.number);
-        self.stop_leftovers(now, &ended.task, ended.how);
+        self.outbox.defer_acknowledge(executor.clone(), ended.number);
+        self.stop_redundant_runs(now, &ended.task, ended.how);
     }
 
     /// Counts a failed run against the executor, unless the task has failed before or its job has
--- a/crates/borageswitch_scheduler/src/reducer/pace.rs
+++ b/crates/borageswitch_scheduler/src/reducer/speed_limits.rs
@@ -1,4 +1,5 @@
-//! Work that fills gaps is slowed beside work that serves; the decision is in [`crate::policy::speed_limits`].
+//! Limits the speed of best-effort runs beside runs that serve users, as decided by
+//! [`crate::policy::speed_limits`].
 
 use borageswitch_types::names::ExecutorName;
 
@@ -13,46 +14,47 @@
     task::TaskKey,
 };
 
-/// The pace of a run that has just started, in percent.
-pub const FULL_PACE: u8 = 100;
+/// The speed of a run that has just started, in percent.
+pub const FULL_SPEED: u8 = 100;
 
-/// Whom work that fills gaps may disturb on an executor.
+/// The runs on an executor that best-effort runs may slow down. The log shows the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Served {
-    /// Nobody.
+enum ServingState {
+    /// No runs serve users.
     Nobody,
-    /// Tasks that have not begun to serve.
+    /// Runs that have not begun to serve.
     NotYet,
-    /// Tasks that serve; the worst of their tails, in percent of its target.
+    /// Runs that serve users, with the worst of their tail latencies in percent of its target.
     Tail(u64),
 }
 
 impl Scheduler {
-    /// Adapts the pace of whatever fills gaps on an executor that was just looked at.
-    pub(super) fn pace_neighbours(&mut self, executor: &ExecutorName) {
+    /// Adjusts the speed limits of best-effort runs on an executor that was just polled.
+    pub(super) fn adjust_speed_limits(&mut self, executor: &ExecutorName) {
         let Some(known) = self.executors.get_mut(executor) else { return };
-        let served = served(known);
+        let served = serving_state(known);
         let recipient = known.recipient();
         let mut changed = Vec::new();
-        let fillers =
+        let best_effort =
             known.runs.iter_mut().filter(|(_, h)| h.best_effort && h.phase == Phase::Active);
-        for (task, held) in fillers {
-            let Some(next) = next_pace(held, served).filter(|next| held.speed_limit != Some(*next))
+        for (task, held) in best_effort {
+            let Some(next) =
+                next_speed_limit(held, served).filter(|next| held.speed_limit != Some(*next))
             else {
                 continue;
             };
             held.speed_limit = Some(next);
             changed.push((task.clone(), held.run, next));
         }
-        for (task, run, pace) in changed {
+        for (task, run, limit) in changed {
             self.log("run-paced", &task, || {
-                format!("run={run} executor={executor} pace={pace} served={served:?}")
+                format!("run={run} executor={executor} pace={limit} served={served:?}")
             });
-            self.effects.push(Effect::LimitSpeed(recipient.clone(), task, run, pace));
+            self.effects.push(Effect::LimitSpeed(recipient.clone(), task, run, limit));
         }
     }
 
-    pub(super) fn pace_answered(
+    pub(super) fn speed_limit_answered(
         &mut self,
         executor: &ExecutorName,
         task: &TaskKey,
@@ -71,21 +73,21 @@
     }
 }
 
-/// The pace that a run is to have, if that can be told now.
+/// The speed limit that a run should get, if it can be determined now.
 ///
-/// A pace that is not known is ordered in any case: taken for full speed, a run that stands still
-/// would never be told to go on, and its owner would see it do nothing for ever.
-fn next_pace(held: &HeldRun, served: Served) -> Option<u8> {
+/// An unknown limit is always set again: if it were taken for full speed, a paused run would never
+/// be resumed, and its owner would never see progress.
+fn next_speed_limit(held: &HeldRun, served: ServingState) -> Option<u8> {
     match served {
-        Served::Nobody => Some(FULL_PACE),
-        Served::NotYet => None,
-        Served::Tail(percent) => {
-            Some(speed_limits::next_limit(held.speed_limit.unwrap_or(FULL_PACE), percent))
+        ServingState::Nobody => Some(FULL_SPEED),
+        ServingState::NotYet => None,
+        ServingState::Tail(percent) => {
+            Some(speed_limits::next_limit(held.speed_limit.unwrap_or(FULL_SPEED), percent))
         }
     }
 }
 
-fn served(known: &Executor) -> Served {
+fn serving_state(known: &Executor) -> ServingState {
     let serving =
         known.runs.values().filter(|held| !held.best_effort && held.target_tail.is_some());
     let (mut any, mut worst) = (false, None);
@@ -97,8 +99,8 @@
         }
     }
     match worst {
-        Some(percent) => Served::Tail(percent),
-        None if any => Served::NotYet,
-        None => Served::Nobody,
+        Some(percent) => ServingState::Tail(percent),
+        None if any => ServingState::NotYet,
+        None => ServingState::Nobody,
     }
 }
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -1,9 +1,9 @@
-//! Runs are started and stopped, and the answers are taken in.
+//! Starts and stops runs, and handles the responses.
 //!
-//! A start without an answer may be carried out seconds later. Its room stays taken, and the task
-//! is started nowhere else, until one of three things proves that it does not run: the executor
-//! has answered an order to stop it and does not list it, the executor's lease has ended, or the
-//! executor's life is over.
+//! A start without a response may be carried out seconds later. Its capacity stays taken, and the
+//! task is started nowhere else, until one of three events proves that it does not run: the
+//! executor has answered a stop and does not list the run, the executor's lease has expired, or the
+//! executor's incarnation has ended.
 
 use std::time::Duration;
 
@@ -20,16 +20,16 @@
     task::TaskKey,
 };
 
-/// How long an executor that refused something for want of room gets nothing new: about the time
-/// until its next report shows what it has.
-const FULL_PAUSE: Duration = Duration::from_millis(200);
-/// How long an executor that called an order malformed gets nothing new.
+/// How long an executor that rejected an order for lack of capacity gets nothing new: about the
+/// time until its next report shows its capacity.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(200);
+/// How long an executor that rejected an order as malformed gets nothing new.
 const MALFORMED_PAUSE: Duration = Duration::from_secs(2);
-/// An order to stop that got no answer is repeated after this time, longer than a call may take.
-const REPEAT_STOP: Duration = Duration::from_millis(600);
+/// The interval after which a stop without a response is repeated, longer than a call may take.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Scheduler {
-    /// Sends a start whose assignment is stored, unless things have changed meanwhile.
+    /// Sends a start whose assignment is stored, unless the state has changed meanwhile.
     pub(super) fn send_start(
         &mut self,
         now: Now,
@@ -42,10 +42,10 @@
         if held.run != run || held.phase != Phase::Recorded {
             return;
         }
-        // Its capacity may have shrunk since the run was placed.
+        // The executor's capacity may have shrunk since the run was placed.
         let fits = known.free_without(held).holds(&held.size);
-        let open = known.is_registered && known.fenced && !known.registration.draining && fits;
-        let Some(order) = self.start_order(now, executor, task, run).filter(|_| open) else {
+        let accepts = known.is_registered && known.fenced && !known.registration.draining && fits;
+        let Some(order) = self.start_order(now, executor, task, run).filter(|_| accepts) else {
             self.release_run(executor, task, "changed before the start");
             return;
         };
@@ -97,13 +97,14 @@
         clock_ms: Option<u64>,
         answer: StartResponse,
     ) {
-        self.starting.answered(now.time, task, run, now.time.since(sent), answer);
-        self.stirred.extend(self.starting.take_held_back());
+        self.pending_starts.answered(now.time, task, run, now.time.since(sent), answer);
+        self.dirty_pools.extend(self.pending_starts.take_blocked_pools());
         let Some(known) = self.executors.get_mut(executor) else { return };
         if let Some(clock_ms) = clock_ms {
             if known.is_other_incarnation(sent, clock_ms) {
-                // It may run there: it is looked for once that life is registered.
-                self.start_lost(now, executor, task);
+                // The run may be on the new incarnation, and is searched for once that has
+                // registered.
+                self.start_unanswered(now, executor, task);
                 self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
                 return;
             }
@@ -121,20 +122,22 @@
         }
         match answer {
             StartResponse::Started => self.run_confirmed(now, executor, task),
-            StartResponse::Lost => self.start_lost(now, executor, task),
+            StartResponse::Lost => self.start_unanswered(now, executor, task),
             StartResponse::Fenced => self.effects.push(Effect::StepDown),
             StartResponse::OtherIncarnation => {
                 self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
             }
-            StartResponse::NoRoom => self.close(now, executor, task, FULL_PAUSE, "no room"),
+            StartResponse::NoRoom => {
+                self.pause_executor(now, executor, task, NO_CAPACITY_PAUSE, "no room");
+            }
             StartResponse::Malformed => {
-                self.close(now, executor, task, MALFORMED_PAUSE, "malformed");
+                self.pause_executor(now, executor, task, MALFORMED_PAUSE, "malformed");
             }
             StartResponse::Unhealthy => {
                 if let Some(known) = self.executors.get_mut(executor) {
                     known.circuit_breaker.record_failure(now.time);
                 }
-                self.close(now, executor, task, FULL_PAUSE, "unhealthy");
+                self.pause_executor(now, executor, task, NO_CAPACITY_PAUSE, "unhealthy");
             }
             StartResponse::NotPermitted => {
                 self.advice.discard_ticket(&task.step_key(), executor);
@@ -165,7 +168,7 @@
         }
     }
 
-    fn start_lost(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    fn start_unanswered(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.polling.silent_since.get_or_insert(now.time);
         let Some(held) = known.runs.get_mut(task) else { return };
@@ -175,7 +178,7 @@
         }
     }
 
-    fn close(
+    fn pause_executor(
         &mut self,
         now: Now,
         executor: &ExecutorName,
@@ -189,7 +192,7 @@
         self.release_run(executor, task, why);
     }
 
-    /// Wants a run to end, however it stands.
+    /// Stops a run, whatever its phase.
     pub(super) fn order_stop(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let Some(held) = known.runs.get_mut(task) else { return };
@@ -199,15 +202,15 @@
             Phase::Sent | Phase::Active | Phase::Inherited | Phase::Unsure => {
                 held.phase = Phase::Stopping;
                 held.phase_since = now.time;
-                if let Some(away) = self.away.get_mut(&task.step_key()) {
-                    away.insert(task.index);
+                if let Some(unavailable) = self.unavailable.get_mut(&task.step_key()) {
+                    unavailable.insert(task.index);
                 }
                 self.send_stop(now, executor, task);
             }
         }
     }
 
-    /// Sends an order to stop a run.
+    /// Sends a stop for a run.
     pub(super) fn send_stop(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         let recipient = known.recipient();
@@ -238,18 +241,19 @@
             OrderResponse::OtherIncarnation => {
                 self.end_incarnation(now, executor, EndDetection::OtherIncarnationAnswered);
             }
-            // Sent again from the sweep.
+            // The sweep repeats the stop.
             OrderResponse::Refused | OrderResponse::Lost => {}
         }
     }
 
-    /// Repeats orders to stop that got no answer.
+    /// Repeats stops that got no response.
     pub(super) fn repeat_stops(&mut self, now: Now) {
         let mut due = Vec::new();
         for (executor, known) in self.executors.iter() {
             for (task, held) in &known.runs {
                 let wanted = matches!(held.phase, Phase::Stopping | Phase::Unsure);
-                let old = held.stop_sent.is_some_and(|at| now.time.since(at) >= REPEAT_STOP);
+                let old =
+                    held.stop_sent.is_some_and(|at| now.time.since(at) >= STOP_RETRY_INTERVAL);
                 if wanted && old && held.stop_confirmed.is_none() {
                     due.push((executor.clone(), task.clone()));
                 }
@@ -261,21 +265,22 @@
     }
 
     /// Stops all runs of a job that has ended.
-    pub(super) fn stop_all_of(&mut self, now: Now, job: &JobName) {
+    pub(super) fn stop_runs_of(&mut self, now: Now, job: &JobName) {
         let runs: Vec<(ExecutorName, TaskKey)> = self.executors.runs_of(job).cloned().collect();
         for (executor, task) in runs {
             self.order_stop(now, &executor, &task);
         }
     }
 
-    /// Stops runs that are pointless now that another run of the task is done.
-    pub(super) fn stop_leftovers(&mut self, now: Now, ended: &TaskKey, how: EndKind) {
+    /// Stops the other runs of a task once one of them is done.
+    pub(super) fn stop_redundant_runs(&mut self, now: Now, ended: &TaskKey, how: EndKind) {
         if how != EndKind::Done {
             return;
         }
-        let left = self.executors.runs_of(&ended.job).filter(|(_, task)| task == ended);
-        let left: Vec<ExecutorName> = left.map(|(executor, _)| executor.clone()).collect();
-        for executor in left {
+        let redundant = self.executors.runs_of(&ended.job).filter(|(_, task)| task == ended);
+        let redundant: Vec<ExecutorName> =
+            redundant.map(|(executor, _)| executor.clone()).collect();
+        for executor in redundant {
             self.order_stop(now, &executor, ended);
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that fall far behind are given up; the decision is in [`crate::policy::stragglers`].
+//! Stops runs that fall far behind, as decided by [`crate::policy::stragglers`].
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,7 +14,7 @@
     task::TaskKey,
 };
 
-/// How many runs of each task have been given up.
+/// The number of stopped stragglers of each task.
 #[derive(Debug, Default)]
 pub struct Stragglers {
     given_up: BTreeMap<TaskKey, u32>,
@@ -26,38 +26,39 @@
     }
 }
 
-/// A report older than this says too little of a run's progress.
+/// A report older than this is too old to judge a run's progress.
 const FRESH_REPORT: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
-    /// Stops runs that a fresh run elsewhere would overtake.
-    pub(super) fn give_up_stragglers(&mut self, now: Now) {
+    /// Stops runs that a new run elsewhere would overtake.
+    pub(super) fn stop_stragglers(&mut self, now: Now) {
         let mut found: Vec<(ExecutorName, TaskKey)> = Vec::new();
         for (executor, known) in self.executors.iter() {
             let fresh = known.clock.is_some_and(|c| now.time.since(c.received) < FRESH_REPORT);
             if !fresh {
                 continue;
             }
-            let slow = known.runs.iter().filter(|(task, held)| self.straggles(known, task, held));
+            let slow =
+                known.runs.iter().filter(|(task, held)| self.is_straggler(known, task, held));
             found.extend(slow.map(|(task, _)| (executor.clone(), task.clone())));
         }
         for (executor, task) in found {
             let pool = self.pool_of(&task.job).cloned();
             if pool.is_some_and(|pool| self.has_place(now, &pool, &executor, &task)) {
-                self.give_up(now, &executor, &task);
+                self.stop_straggler(now, &executor, &task);
             }
         }
     }
 
-    fn straggles(&self, known: &Executor, task: &TaskKey, held: &HeldRun) -> bool {
+    fn is_straggler(&self, known: &Executor, task: &TaskKey, held: &HeldRun) -> bool {
         let Some(job) = self.ledger.jobs.get(&task.job) else { return false };
         let Some(step) = job.step(task.step) else { return false };
         if held.phase != Phase::Active || step.gang {
             return false;
         }
-        // Progress is as old as the report that told of it.
-        let told = known.clock.map_or(held.started, |clock| clock.received);
-        let elapsed = told.since(held.started);
+        // Progress is as old as the report that contained it.
+        let reported_at = known.clock.map_or(held.started, |clock| clock.received);
+        let elapsed = reported_at.since(held.started);
         if held.lasting {
             let given_up = self.stragglers.given_up(task);
             return held.percent < 100
@@ -76,7 +77,7 @@
         })
     }
 
-    fn give_up(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
+    fn stop_straggler(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let Some(known) = self.executors.get_mut(executor) else { return };
         known.circuit_breaker.record_failure(now.time);
         let Some(held) = known.runs.get(task) else { return };
@@ -89,7 +90,7 @@
         self.order_stop(now, executor, task);
     }
 
-    /// Drops what was noted of jobs that have ended.
+    /// Drops the counts of jobs that have ended.
     pub(super) fn forget_stragglers(&mut self) {
         let jobs = &self.ledger.jobs;
         self.stragglers.given_up.retain(|task, _| jobs.contains_key(&task.job));
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -117,7 +117,8 @@
                 let evidence = self.evidence(now, ended, lost, shares[job]);
                 return Some(suspicion(now, ended, lost, evidence));
             }
-            crash_attribution::is_start_related(lost.min_age).then(|| suspicion(now, ended, lost, 0))
+            crash_attribution::is_start_related(lost.min_age)
+                .then(|| suspicion(now, ended, lost, 0))
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         self.suspects.history.add_crash(now.time, ended.host().cloned(), jobs);
@@ -130,7 +131,8 @@
     /// They count for the limit on restarts: a drain may hide a crash, or an earlier leader may
     /// have seen a crash that it could not store.
     pub(super) fn note_unattributed_loss(&mut self, now: Now, ended: &EndedExecutor) {
-        let recent = ended.runs.iter().filter(|lost| crash_attribution::is_start_related(lost.min_age));
+        let recent =
+            ended.runs.iter().filter(|lost| crash_attribution::is_start_related(lost.min_age));
         let suspicions = recent.map(|lost| suspicion(now, ended, lost, 0));
         self.record_suspicions(suspicions.collect());
     }
@@ -152,7 +154,7 @@
             host: ended.host(),
             executors: self.executors.len(),
         };
-        let rate = self.suspects.history.rate(now.time, self.began, &site);
+        let rate = self.suspects.history.rate(now.time, self.took_over_at, &site);
         crash_attribution::evidence(share, lost.window.unwrap_or(UNKNOWN_AGE), rate)
     }
 
@@ -203,7 +205,7 @@
         if let Some(queue) = self.queue_of_job(&task.job) {
             self.effects.push(Effect::Count(CountedEvent::GivenUp(queue)));
         }
-        self.touched.insert(task.job.clone());
+        self.maybe_ended.insert(task.job.clone());
         self.suspects.history.discard_caused_by(&task.job);
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/waves.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waves.rs
@@ -1,7 +1,7 @@
 //! Maintenance waves.
 //!
-//! Hosts of the pools that have the least to do come first. A wave never has more hosts away at
-//! once than the operator allows, counting a host until the platform lists it as up again.
+//! Hosts of the pools with the least work come first. A wave never has more hosts out of service at
+//! once than the operator permits; a host counts until the platform lists it as up again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 }
 
 impl Waves {
-    /// Whether a wave is not completed.
+    /// Whether any wave is not completed.
     pub fn is_open(&self) -> bool {
         !self.open.is_empty()
     }
@@ -35,7 +35,7 @@
         self.open.keys().copied()
     }
 
-    /// What was asked for by a wave that is not completed.
+    /// The request for a wave that is not completed.
     pub fn request(&self, wave: u64) -> Option<&WaveRequest> {
         self.open.get(&wave)
     }
@@ -64,23 +64,23 @@
         self.waves.open.insert(wave, request);
     }
 
-    pub(super) fn step_waves(&mut self, now: Now) {
-        if self.fleet.listed.is_none_or(|listed| listed < self.began) {
+    pub(super) fn advance_waves(&mut self, now: Now) {
+        if self.fleet.listed.is_none_or(|listed| listed < self.took_over_at) {
             return;
         }
         let waves: Vec<WaveRequest> = self.waves.open.values().cloned().collect();
         for wave in waves {
-            self.step_wave(now, &wave);
+            self.advance_wave(now, &wave);
         }
     }
 
-    fn step_wave(&mut self, now: Now, wave: &WaveRequest) {
+    fn advance_wave(&mut self, now: Now, wave: &WaveRequest) {
         let due = self.due_hosts(wave);
         if due.is_empty() {
             self.complete(wave.wave);
             return;
         }
-        let taken = self.taken_by(now, wave);
+        let taken = self.count_unavailable(now, wave);
         let free = (wave.max_down as usize).saturating_sub(taken);
         if free == 0 {
             return;
@@ -88,9 +88,9 @@
         let work = self.work_by_pool();
         let mut waiting: Vec<(u64, HostName)> = due
             .into_iter()
-            // Emptied before it may be ordered, a host would stand idle for the rest of the pause.
+            // A host drained before it may be ordered would be idle for the rest of the pause.
             .filter(|host| {
-                !self.fleet.withdrawals.contains_key(host) && !self.is_paused(now.time, host)
+                !self.fleet.withdrawals.contains_key(host) && !self.is_order_paused(now.time, host)
             })
             .filter(|host| self.fleet.hosts[host].state == HostState::Up)
             .map(|host| (work.get(&self.fleet.hosts[&host].pool).copied().unwrap_or(0), host))
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Hosts that stay and whose maintenance has not begun.
+    /// The hosts of a wave that still exist and whose maintenance has not begun.
     pub(super) fn due_hosts(&self, wave: &WaveRequest) -> Vec<HostName> {
         let begun = self.ledger.maintained.get(&wave.wave);
         let begun: BTreeSet<&HostName> = begun.into_iter().flatten().collect();
@@ -110,10 +110,11 @@
         due.filter(|host| self.fleet.hosts.contains_key(*host)).cloned().collect()
     }
 
-    /// How many hosts count as away for the wave: those that are, those that are about to be, and
-    /// those that an order of an earlier leader may yet take away. Without the last, a new leader
-    /// would send the next host while such an order is on its way, and one too many would be away.
-    fn taken_by(&self, now: Now, wave: &WaveRequest) -> usize {
+    /// How many hosts count as out of service for the wave: those that are, those that are about to
+    /// be, and those that an earlier leader's order may still take away. Without the last, a new
+    /// leader could order the next host while such an order is in flight, and exceed the limit by
+    /// one.
+    fn count_unavailable(&self, now: Now, wave: &WaveRequest) -> usize {
         let begun = self.ledger.maintained.get(&wave.wave);
         let begun: BTreeSet<&HostName> = begun.into_iter().flatten().collect();
         let is_begun = |host: &HostName| begun.contains(host);
@@ -127,13 +128,13 @@
                 .hosts
                 .get(*host)
                 .is_some_and(|entry| entry.state == HostState::InMaintenance);
-            let ordered = self.is_paused(now.time, host) && !is_begun(host);
+            let ordered = self.is_order_paused(now.time, host) && !is_begun(host);
             chosen || away || ordered
         };
         wave.hosts.iter().filter(counts).count()
     }
 
-    /// How much work each pool has for each of its hosts, in thousandths of a core.
+    /// The work of each pool per host, in thousandths of a core.
     fn work_by_pool(&self) -> BTreeMap<PoolName, u64> {
         let work = |pool: &PoolName| {
             let members = self.executors.of_pool(pool).map(|(_, known)| known.used().cpu_milli);
@@ -147,6 +148,6 @@
         self.waves.open.remove(&wave);
         self.log("wave-completed", wave, String::new);
         self.record(Record::WaveCompleted { wave });
-        self.outbox.then_report_wave(wave);
+        self.outbox.defer_wave_report(wave);
     }
 }
