--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -43,7 +43,7 @@
         /// When the list was requested.
         listed_at: Time,
         /// The present state of its host.
-        host: HostOutcome,
+        host_outcome: HostOutcome,
     },
     /// The platform has carried out an order that takes its host out of service.
     HostOrderCompleted,
@@ -75,7 +75,9 @@
     /// The present state of its host, if the detection involved the host list.
     fn host_outcome(&self) -> Option<&HostOutcome> {
         match self {
-            EndDetection::Unlisted { host, .. } | EndDetection::Restarted(host) => Some(host),
+            EndDetection::Unlisted { host_outcome, .. } | EndDetection::Restarted(host_outcome) => {
+                Some(host_outcome)
+            }
             _ => None,
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/executor_table.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executor_table.rs
@@ -150,8 +150,8 @@
         self.by_pool.entry(pool).or_default().insert(name.clone());
         for (task, held) in &executor.runs {
             charge(&mut self.usage, held);
-            let runs = self.runs_by_job.entry(task.job.clone()).or_default();
-            runs.insert((name.clone(), task.clone()));
+            let entries = self.runs_by_job.entry(task.job.clone()).or_default();
+            entries.insert((name.clone(), task.clone()));
         }
         executor.is_marked_changed = true;
         self.changed.push(name.clone());
@@ -179,8 +179,8 @@
         let Some(known) = self.all.get_mut(executor) else { return };
         charge(&mut self.usage, &held);
         known.add_run(task.clone(), held);
-        let runs = self.runs_by_job.entry(task.job.clone()).or_default();
-        runs.insert((executor.clone(), task.clone()));
+        let entries = self.runs_by_job.entry(task.job.clone()).or_default();
+        entries.insert((executor.clone(), task.clone()));
     }
 
     /// Marks a run as confirmed: the executor has accepted its start or listed it.
@@ -211,9 +211,9 @@
     }
 
     fn forget_run(&mut self, executor: &ExecutorName, task: &TaskKey) {
-        let Some(runs) = self.runs_by_job.get_mut(&task.job) else { return };
-        runs.remove(&(executor.clone(), task.clone()));
-        if runs.is_empty() {
+        let Some(entries) = self.runs_by_job.get_mut(&task.job) else { return };
+        entries.remove(&(executor.clone(), task.clone()));
+        if entries.is_empty() {
             self.runs_by_job.remove(&task.job);
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/executors.rs
+++ b/crates/borageswitch_scheduler/src/reducer/executors.rs
@@ -106,7 +106,7 @@
             Phase::Active => self.phase_since < sent,
             Phase::Stopping if self.confirmed => self.phase_since < sent,
             Phase::Stopping | Phase::Unsure => {
-                self.stop_confirmed.is_some_and(|confirmed| confirmed < sent)
+                self.stop_confirmed.is_some_and(|stopped| stopped < sent)
             }
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/host_list.rs
+++ b/crates/borageswitch_scheduler/src/reducer/host_list.rs
@@ -177,7 +177,7 @@
             self.end_incarnation(
                 now,
                 &executor,
-                EndDetection::Unlisted { listed_at: asked, host: fate },
+                EndDetection::Unlisted { listed_at: asked, host_outcome: fate },
             );
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lease_expiry.rs
@@ -70,9 +70,10 @@
         self.note_executor_end(now, executor, detection);
         let Some(known) = self.executors.get(executor) else { return };
         let may_return = life::born(executor).is_some();
-        let ended = known.runs.iter().filter(|(_, h)| !may_return || !h.may_start_later(absent_at));
-        let ended: Vec<TaskKey> = ended.map(|(task, _)| task.clone()).collect();
-        for task in ended {
+        let finished =
+            known.runs.iter().filter(|(_, h)| !may_return || !h.may_start_later(absent_at));
+        let finished: Vec<TaskKey> = finished.map(|(task, _)| task.clone()).collect();
+        for task in finished {
             self.release_run(executor, &task, why);
         }
         if self.executors.get(executor).is_some_and(|known| known.runs.is_empty()) {
