--- a/benches/src/load.rs
+++ b/benches/src/load.rs
@@ -12,8 +12,9 @@
     model::{
         Engine, Fault, SiteReport,
         scenarios::{
-            burst_good, cancelled_wave_ratio, failing_host_permille, hot_caller_ratio,
-            long_among_short_ratio, outage_tries, overload_goodput, slow_target_ratio, urgent_wait,
+            burst_success_share, cancelled_wave_ratio, failing_host_permille, hot_caller_ratio,
+            long_among_short_ratio, outage_attempt_ratio, overload_goodput, slow_target_ratio,
+            urgent_wait,
         },
     },
 };
@@ -30,7 +31,7 @@
 /// Plays every load pattern with the product and with the baseline, on the same requests.
 pub(crate) fn run() -> Value {
     let rows = vec![
-        row("burst: good answers", burst_good),
+        row("burst: good answers", burst_success_share),
         row("overload 3x, one entry: goodput", |seed, engine| overload_goodput(seed, 1, engine)),
         row("overload 3x, nine entries: goodput", |seed, engine| overload_goodput(seed, 9, engine)),
         row("hot caller 20x: others' p99, x", hot_caller_ratio),
@@ -46,7 +47,7 @@
         row("host refuses, nine entries: failed, permille", |seed, engine| {
             failing_host_permille(seed, 9, Fault::Refuses, engine)
         }),
-        row("outage of 5 s in 30: tries a request", outage_tries),
+        row("outage of 5 s in 30: tries a request", outage_attempt_ratio),
         row("cancelled wave: others' p99, x", cancelled_wave_ratio),
         row("urgent under 3x: 99.9 % wait, s", urgent_wait),
     ];
@@ -140,7 +141,7 @@
         let untrue: u64 = played
             .iter()
             .flat_map(|(_, report)| report.groups.values())
-            .map(|group| group.untrue)
+            .map(|group| group.false_not_run)
             .sum();
         let least = played.iter().map(|(figure, _)| *figure).fold(f64::MAX, f64::min);
         let most = played.iter().map(|(figure, _)| *figure).fold(f64::MIN, f64::max);
--- a/benches/src/slots.rs
+++ b/benches/src/slots.rs
@@ -39,7 +39,7 @@
         wait_p99: mean(|report| report.group("all").wait(99.0).as_secs_f64() * 1e3),
         messages: reports.iter().map(|report| report.messages).sum::<u64>() as f64 / seconds,
         refused: reports.iter().map(|report| report.group("all").refusals()).sum(),
-        most: reports.iter().map(|report| report.most_in_flight).max().unwrap_or(0),
+        most: reports.iter().map(|report| report.max_in_flight).max().unwrap_or(0),
         overcommitted: reports.iter().map(|report| report.overcommitted).sum(),
     }
 }
--- a/crates/borageswitch_control/src/reducer/views.rs
+++ b/crates/borageswitch_control/src/reducer/views.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use borageswitch_policy::dealing;
+use borageswitch_policy::slot_allocation;
 use borageswitch_types::{
     fleet::{Fleet, Host, HostPhase, Service},
     names::{DaemonName, HostName},
@@ -104,7 +104,7 @@
         epoch: host.epoch,
         state,
         slots: host.spec.slots,
-        dealt_slots: dealing::deal(host.spec.slots, name, me, entries),
-        dealt_connections: dealing::deal(host.spec.connections, name, me, entries),
+        dealt_slots: slot_allocation::allocate(host.spec.slots, name, me, entries),
+        dealt_connections: slot_allocation::allocate(host.spec.connections, name, me, entries),
     })
 }
--- a/crates/borageswitch_policy/src/dispatch/admission.rs
+++ b/crates/borageswitch_policy/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Lets a request into the queue, or refuses it at once.
+//! Admits a request to the queue, or refuses it at once.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use super::{DispatchOutput, Dispatcher, Offer, Ticket};
 use crate::{
-    fair_queue::{NO_TEAM_WEIGHT, Waiting},
+    fair_queue::{NO_TEAM_WEIGHT, QueuedRequest},
     shedding::{QueueState, Refusal},
 };
 
-/// By up to this part later than computed a caller is told to come back.
-const RETRY_SPREAD: f64 = 0.25;
+/// The largest part by which a retry time is randomly extended.
+const RETRY_JITTER: f64 = 0.25;
 
 impl Dispatcher {
     pub(super) fn offer(&mut self, now: Time, offer: Offer, out: &mut Vec<DispatchOutput>) {
@@ -20,25 +20,25 @@
             return;
         };
         let ticket = offer.ticket;
-        let request = self.to_waiting(now, offer, &view);
+        let request = self.to_queued(now, offer, &view);
         match self.admit(now, &request, &view) {
             Ok(()) => self.queue.push(request),
             Err((kind, retry_after)) => {
-                let retry_after = retry_after.map(|after| self.spread(after));
+                let retry_after = retry_after.map(|after| self.add_jitter(after));
                 out.push(refuse(ticket, kind, retry_after));
             }
         }
     }
 
-    /// Spreads the times at which refused callers come back, which would else be a burst again.
-    fn spread(&mut self, after: Duration) -> Duration {
-        after.mul_f64(1.0 + RETRY_SPREAD * self.rng.f64())
+    /// Adds jitter to the retry times of refused callers, which would otherwise return in a burst.
+    fn add_jitter(&mut self, after: Duration) -> Duration {
+        after.mul_f64(1.0 + RETRY_JITTER * self.rng.f64())
     }
 
     fn admit(
         &self,
         now: Time,
-        request: &Waiting,
+        request: &QueuedRequest,
         view: &TrafficView,
     ) -> Result<(), (ErrorKind, Option<Duration>)> {
         if !view.admitting {
@@ -47,7 +47,7 @@
         let Some(service) = view.services.get(&self.service) else {
             return Err((ErrorKind::UnknownService, None));
         };
-        if !self.targets.any_open() {
+        if !self.targets.any_accepting() {
             return Err((ErrorKind::NoTarget, None));
         }
         if request.offer.deadline <= now {
@@ -58,7 +58,7 @@
         admitted.map_err(|Refusal { kind, retry_after }| (kind, Some(retry_after)))
     }
 
-    fn queue_state(&self, request: &Waiting) -> QueueState {
+    fn queue_state(&self, request: &QueuedRequest) -> QueueState {
         let caller = &request.offer.caller;
         let backlog =
             self.queue.backlog(request.offer.priority, caller, &request.team, request.weight);
@@ -67,20 +67,20 @@
             backlog,
             waiting: self.queue.len(),
             caller_waiting: self.queue.caller_len(caller),
-            allowance: request.allowance,
+            upper_estimate: request.upper_estimate,
         }
     }
 
-    fn to_waiting(&self, now: Time, offer: Offer, view: &TrafficView) -> Waiting {
+    fn to_queued(&self, now: Time, offer: Offer, view: &TrafficView) -> QueuedRequest {
         let team = view.callers.get(&offer.caller).cloned();
         let share = team.as_ref().and_then(|team| view.teams.get(team));
-        Waiting {
+        QueuedRequest {
             weight: share.map_or(NO_TEAM_WEIGHT, |share| share.weight),
             arrived: now,
             expected: self.run_times.expected(offer.kind),
-            allowance: self.run_times.allowance(offer.kind),
+            upper_estimate: self.run_times.upper_estimate(offer.kind),
             length: self.run_times.length(offer.kind),
-            tries: 0,
+            attempts: 0,
             avoid: None,
             may_have_run: None,
             team,
--- a/crates/borageswitch_policy/src/dispatch/lending.rs
+++ b/crates/borageswitch_policy/src/dispatch/lending.rs
@@ -1,4 +1,4 @@
-//! Passes slots between this entry and others.
+//! Lends slots to other entries and borrows from them.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 use super::{DispatchOutput, Dispatcher};
 use crate::{
     loans::{
-        asking::{self, Asking},
         ledger::LoanKey,
+        slot_requests::{self, SlotRequests},
     },
-    short_reserve,
+    short_reservation,
 };
 
 impl Dispatcher {
-    /// Takes the members of a new view. When they have changed, each slot's owner may be another,
-    /// so every held share is given up; what runs on it ends by itself.
-    pub(super) fn take_members(
+    /// Applies the members of a new view. When they have changed, a slot may have another owner, so
+    /// every held share is given back; requests that run on it end normally.
+    pub(super) fn update_members(
         &mut self,
         now: Time,
         view: &TrafficView,
@@ -33,24 +33,24 @@
             return;
         }
         let peers = view.entries.iter().filter(|entry| **entry != view.me).cloned().collect();
-        self.asking.set_peers(peers);
-        self.ledger.shorten(now);
+        self.slot_requests.set_peers(peers);
+        self.ledger.shorten_waits(now);
         let ended = self.ledger.end_all();
-        self.give_up(now, ended, out);
+        self.return_shares(now, ended, out);
     }
 
-    /// Lends idle slots to whoever asked, or asks for some.
-    pub(super) fn lend_and_ask(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
+    /// Grants idle slots to pending slot requests, or requests slots if callers' requests wait.
+    pub(super) fn exchange_slots(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
         if self.queue.is_empty() {
-            if self.asking.has_wants() {
-                self.serve_wants(now, out);
+            if self.slot_requests.has_pending() {
+                self.serve_pending(now, out);
             }
         } else {
-            self.ask(now, out);
+            self.request_slots(now, out);
         }
     }
 
-    pub(super) fn take_slots(
+    pub(super) fn handle_slot_message(
         &mut self,
         now: Time,
         from: DaemonName,
@@ -59,19 +59,23 @@
     ) {
         match message {
             SlotMessage::Ask { asker, ask, wanted, tried, .. } => {
-                self.asking.hint(now, &asker, 0);
-                tried.iter().for_each(|peer| self.asking.hint(now, peer, 0));
-                self.answer_ask(now, Ask { asker, ask, wanted, tried }, out);
+                self.slot_requests.record_hint(now, &asker, 0);
+                tried.iter().for_each(|peer| self.slot_requests.record_hint(now, peer, 0));
+                self.handle_slot_request(
+                    now,
+                    SlotRequest { requester: asker, id: ask, wanted, tried },
+                    out,
+                );
             }
             SlotMessage::Grant { ask, shares, idle_left, .. } => {
-                self.asking.hint(now, &from, idle_left);
-                self.take_grant(now, ask, shares, out);
+                self.slot_requests.record_hint(now, &from, idle_left);
+                self.accept_grant(now, ask, shares, out);
             }
             SlotMessage::Hold { loans, .. } => {
-                loans.into_iter().for_each(|loan| self.ledger.prolong(now, loan));
+                loans.into_iter().for_each(|loan| self.ledger.extend(now, loan));
             }
             SlotMessage::Return { loans, .. } => {
-                for host in loans.into_iter().filter_map(|loan| self.ledger.returned(loan)) {
+                for host in loans.into_iter().filter_map(|loan| self.ledger.record_return(loan)) {
                     self.targets.take_back(&host);
                 }
             }
@@ -83,29 +87,30 @@
         for host in &expired.own {
             self.targets.take_back(host);
         }
-        self.give_up(now, expired.held, out);
+        self.return_shares(now, expired.held, out);
     }
 
-    /// Gives ended shares back whose slots have become free by the end of a try on this host.
-    pub(super) fn settle_overdue(&mut self, host: &HostName, out: &mut Vec<DispatchOutput>) {
-        let mut settled = Vec::new();
+    /// Returns overdue shares whose slots were freed by the end of an attempt on this host.
+    pub(super) fn return_overdue(&mut self, host: &HostName, out: &mut Vec<DispatchOutput>) {
+        let mut freed = Vec::new();
         while self.ledger.overdue_on(host) > self.targets.excess(host) {
-            let Some(key) = self.ledger.settle_overdue(host) else { break };
-            settled.push(key);
+            let Some(key) = self.ledger.take_overdue(host) else { break };
+            freed.push(key);
         }
-        self.send_by_owner(settled, out, |service, loans| SlotMessage::Return { service, loans });
+        self.send_by_owner(freed, out, |service, loans| SlotMessage::Return { service, loans });
     }
 
-    pub(super) fn send_holds(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
+    pub(super) fn send_hold_notices(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
         for host in self.ledger.overdue_hosts() {
-            self.settle_overdue(&host, out);
+            self.return_overdue(&host, out);
         }
-        let due = self.ledger.due_holds(now);
+        let due = self.ledger.due_notices(now);
         self.send_by_owner(due, out, |service, loans| SlotMessage::Hold { service, loans });
     }
 
-    /// Stops using held shares: those with a free slot go back now, the others when it is free.
-    fn give_up(
+    /// Stops using held shares: those with a free slot are returned now, the others once it is
+    /// free.
+    fn return_shares(
         &mut self,
         now: Time,
         ended: Vec<(LoanKey, HostName)>,
@@ -114,27 +119,27 @@
         let mut returned = Vec::new();
         for (key, host) in ended {
             let was_free = self.targets.has_free(&host);
-            self.targets.give_up(&host);
+            self.targets.release_borrowed(&host);
             if was_free {
                 returned.push(key);
             } else {
-                self.ledger.keep_overdue(now, key, host);
+                self.ledger.mark_overdue(now, key, host);
             }
         }
         self.send_by_owner(returned, out, |service, loans| SlotMessage::Return { service, loans });
-        self.send_holds(now, out);
+        self.send_hold_notices(now, out);
     }
 
-    fn ask(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
+    fn request_slots(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
         let mean_run = self.run_times.mean();
-        if self.targets.free() > 0 || !self.asking.may_ask(now, mean_run) {
+        if self.targets.free() > 0 || !self.slot_requests.may_send(now, mean_run) {
             return;
         }
-        if self.wait_estimate() < Asking::patience(mean_run) {
+        if self.wait_estimate() < SlotRequests::drain_threshold(mean_run) {
             return;
         }
         let Some(view) = &self.view else { return };
-        let Some((ask, peer)) = self.asking.begin(now, &mut self.rng) else { return };
+        let Some((ask, peer)) = self.slot_requests.begin(now, &mut self.rng) else { return };
         let message = SlotMessage::Ask {
             service: self.service.clone(),
             asker: view.me.clone(),
@@ -145,47 +150,60 @@
         out.push(DispatchOutput::SendSlots(peer, message));
     }
 
-    /// Grants what is idle; or passes the ask on, and remembers it for the next idle slot.
-    fn answer_ask(&mut self, now: Time, mut ask: Ask, out: &mut Vec<DispatchOutput>) {
+    /// Grants idle slots; or forwards the slot request and keeps it for the next idle slot.
+    fn handle_slot_request(
+        &mut self,
+        now: Time,
+        mut request: SlotRequest,
+        out: &mut Vec<DispatchOutput>,
+    ) {
         let Some(view) = self.view.clone() else { return };
-        if ask.asker == view.me {
+        if request.requester == view.me {
             return;
         }
-        let can_lend = if self.queue.is_empty() { self.idle_to_lend() } else { 0 };
-        if can_lend > 0 {
-            self.grant(now, ask.asker, ask.ask, ask.wanted.min(can_lend), out);
+        let lendable = if self.queue.is_empty() { self.idle_to_lend() } else { 0 };
+        if lendable > 0 {
+            self.grant(now, request.requester, request.id, request.wanted.min(lendable), out);
             return;
         }
-        self.asking.remember(now, ask.asker.clone(), ask.ask, self.run_times.mean());
-        if ask.tried.len() >= asking::MAX_HOPS {
+        self.slot_requests.add_pending(
+            now,
+            request.requester.clone(),
+            request.id,
+            self.run_times.mean(),
+        );
+        if request.tried.len() >= slot_requests::MAX_HOPS {
             return;
         }
-        ask.tried.push(view.me.clone());
-        let mut not = ask.tried.clone();
-        not.push(ask.asker.clone());
-        let Some(peer) = self.asking.likeliest(now, &not, &mut self.rng) else { return };
+        request.tried.push(view.me.clone());
+        let mut excluded = request.tried.clone();
+        excluded.push(request.requester.clone());
+        let Some(peer) = self.slot_requests.best_peer(now, &excluded, &mut self.rng) else {
+            return;
+        };
         let message = SlotMessage::Ask {
             service: self.service.clone(),
-            asker: ask.asker,
-            ask: ask.ask,
-            wanted: ask.wanted,
-            tried: ask.tried,
+            asker: request.requester,
+            ask: request.id,
+            wanted: request.wanted,
+            tried: request.tried,
         };
         out.push(DispatchOutput::SendSlots(peer, message));
     }
 
-    fn serve_wants(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
-        while self.idle_to_lend() > 0 && self.targets.freest().is_some() {
-            let Some(want) = self.asking.next_want(now) else { return };
-            self.grant(now, want.asker, want.ask, want.slots, out);
+    fn serve_pending(&mut self, now: Time, out: &mut Vec<DispatchOutput>) {
+        while self.idle_to_lend() > 0 && self.targets.most_free().is_some() {
+            let Some(pending) = self.slot_requests.next_pending(now) else { return };
+            self.grant(now, pending.requester, pending.id, pending.slots, out);
         }
     }
 
-    /// Idle slots beyond those kept for short requests.
+    /// Returns the number of idle slots beyond those reserved for short requests.
     fn idle_to_lend(&self) -> u16 {
         let capacity = self.targets.capacity();
-        let kept = short_reserve::kept_slots(capacity, self.run_times.short_share());
-        u16::try_from(self.targets.free().saturating_sub(kept)).unwrap_or(u16::MAX)
+        let reserved =
+            short_reservation::reserved_slots(capacity, self.run_times.short_load_share());
+        u16::try_from(self.targets.free().saturating_sub(reserved)).unwrap_or(u16::MAX)
     }
 
     fn grant(
@@ -196,7 +214,7 @@
         count: u16,
         out: &mut Vec<DispatchOutput>,
     ) {
-        let shares: Vec<SlotShare> = (0..count).map_while(|_| self.part_with(now)).collect();
+        let shares: Vec<SlotShare> = (0..count).map_while(|_| self.give_slot(now)).collect();
         if shares.is_empty() {
             return;
         }
@@ -209,14 +227,14 @@
         out.push(DispatchOutput::SendSlots(to, message));
     }
 
-    /// One idle slot for another entry: a held one handed on, or an own one lent.
-    fn part_with(&mut self, now: Time) -> Option<SlotShare> {
-        let host = self.targets.freest()?;
-        if let Some(share) = self.ledger.hand_on(now, &host) {
-            self.targets.give_up(&host);
+    /// Gives up one idle slot for another entry: transfers a held one, or lends an own one.
+    fn give_slot(&mut self, now: Time) -> Option<SlotShare> {
+        let host = self.targets.most_free()?;
+        if let Some(share) = self.ledger.transfer(now, &host) {
+            self.targets.release_borrowed(&host);
             return Some(share);
         }
-        if !self.targets.owns_unlent(&host) {
+        if !self.targets.has_unlent(&host) {
             return None;
         }
         let (me, epoch) = (self.view.as_ref()?.me.clone(), self.targets.epoch(&host)?);
@@ -224,33 +242,33 @@
         Some(self.ledger.lend(now, &me, host, epoch))
     }
 
-    fn take_grant(
+    fn accept_grant(
         &mut self,
         now: Time,
         ask: u64,
         shares: Vec<SlotShare>,
         out: &mut Vec<DispatchOutput>,
     ) {
-        let asked = self.asking.sent(ask);
+        let requested = self.slot_requests.sent_at(ask);
         let me = self.view.as_ref().map(|view| view.me.clone());
-        let mut useless = Vec::new();
+        let mut unusable = Vec::new();
         for share in shares {
             if Some(&share.owner) == me.as_ref() {
-                if let Some(host) = self.ledger.returned(share.loan) {
+                if let Some(host) = self.ledger.record_return(share.loan) {
                     self.targets.take_back(&host);
                 }
                 continue;
             }
             let (key, host) = ((share.owner.clone(), share.loan), share.host.clone());
             let is_current = self.targets.is_current(&host, share.epoch);
-            match asked {
-                Some(asked) if is_current && self.ledger.hold(now, asked, share) => {
+            match requested {
+                Some(requested) if is_current && self.ledger.accept(now, requested, share) => {
                     self.targets.borrow(&host);
                 }
-                _ => useless.push(key),
+                _ => unusable.push(key),
             }
         }
-        self.send_by_owner(useless, out, |service, loans| SlotMessage::Return { service, loans });
+        self.send_by_owner(unusable, out, |service, loans| SlotMessage::Return { service, loans });
     }
 
     fn send_by_owner<F>(&self, keys: Vec<LoanKey>, out: &mut Vec<DispatchOutput>, to_message: F)
@@ -268,9 +286,9 @@
     }
 }
 
-struct Ask {
-    asker: DaemonName,
-    ask: u64,
+struct SlotRequest {
+    requester: DaemonName,
+    id: u64,
     wanted: u16,
     tried: Vec<DaemonName>,
 }
--- a/crates/borageswitch_policy/src/dispatch/messages.rs
+++ b/crates/borageswitch_policy/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a dispatcher and what comes out of it.
+//! The inputs and outputs of a dispatcher.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
     slots::SlotMessage,
 };
 
-/// Names one request at one entry.
+/// Identifies one request at one entry.
 #[derive(
     Clone,
     Copy,
@@ -43,31 +43,31 @@
 pub enum Priority {
     /// Starts before all others.
     Urgent,
-    /// Somebody waits for the answer.
+    /// Somebody waits for the response.
     #[default]
     Normal,
-    /// Nobody waits for the answer.
+    /// Nobody waits for the response.
     Batch,
 }
 
-/// A request that asks to be sent.
+/// A request to be sent to a target.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// Names the request from now on.
+    /// Identifies the request from now on.
     pub ticket: Ticket,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerName,
     /// How urgent it is.
     pub priority: Priority,
     /// When the caller stops waiting.
     pub deadline: Time,
-    /// What the request does, for run times learned: the method and the path's first parts.
+    /// The method and the first parts of the path, by which run times are estimated.
     pub kind: u64,
-    /// Whether a second try is harmless and possible: it is idempotent and its body is at hand.
+    /// Whether the request can be retried without harm: it is idempotent and its body is available.
     pub retryable: bool,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The target answered.
@@ -75,36 +75,36 @@
         /// The HTTP status.
         status: u16,
     },
-    /// The target did not answer, or not in full.
+    /// The target did not answer, or not completely.
     Failed {
-        /// Why.
+        /// The cause.
         kind: ErrorKind,
         /// Whether the target may have run the request.
         ran: Ran,
-        /// False once a part of the answer has gone to the caller, or the body cannot be sent
-        /// again.
+        /// False once a part of the response has been sent to the caller, or if the body cannot be
+        /// sent again.
         retryable: bool,
     },
-    /// The caller went away, and the try was given up.
+    /// The caller disconnected, and the attempt was abandoned.
     Abandoned,
 }
 
-/// What happens to a dispatcher.
+/// The events that a dispatcher handles.
 #[derive(Clone, Debug)]
 pub enum DispatchInput {
-    /// A request asks to be sent.
+    /// A request has arrived.
     Offered(Offer),
-    /// The caller of a waiting or started request has gone away.
+    /// The caller of a waiting or started request has disconnected.
     Cancelled(Ticket),
-    /// A try has ended; its slot is free.
+    /// An attempt has ended; its slot is free.
     Finished(Ticket, Outcome),
-    /// Another entry sends a message about slots.
+    /// Another entry has sent a message about slots.
     Slots(DaemonName, SlotMessage),
     /// Time has passed.
     Tick,
 }
 
-/// What a dispatcher asks for.
+/// The actions that a dispatcher requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchOutput {
     /// Send the request to this target now.
@@ -116,13 +116,13 @@
         /// Where the target listens.
         address: SocketAddr,
     },
-    /// Answer the request with this error now.
+    /// Send this error to the caller now.
     Refuse {
         /// The request.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When the caller may come back, where the dispatcher knows better than the table.
+        /// When the caller may retry, if the dispatcher has a better estimate than the error table.
         retry_after: Option<Duration>,
     },
     /// Send a message about slots to another entry.
--- a/crates/borageswitch_policy/src/dispatch/tests.rs
+++ b/crates/borageswitch_policy/src/dispatch/tests.rs
@@ -20,7 +20,8 @@
     now: Time,
 }
 
-/// One entry of two before `hosts` targets, with two slots dealt of each target's four.
+/// Creates one entry of two with `hosts` targets, each with two of its four slots allocated to this
+/// entry.
 fn fixture(hosts: usize) -> Fixture {
     let targets = (0..hosts).map(|n| {
         let host = HostName::from(format!("host-{n}"));
@@ -116,10 +117,10 @@
     })
 }
 
-/// A payroll run is not idempotent and its connection breaks after it was sent. Sending it again
-/// could pay twice.
+/// A non-idempotent payroll request loses its connection after it was sent. Sending it again could
+/// pay twice.
 #[test]
-fn non_idempotent_request_that_may_have_run_is_not_tried_again() {
+fn non_idempotent_request_that_may_have_run_is_not_retried() {
     let mut fixture = fixture(2);
     fixture.offer(1, "payroll", false);
 
@@ -140,10 +141,10 @@
     assert_ne!(started_on(&out), started_on(&first));
 }
 
-/// The first try breaks after it was sent, the second is refused by its target. To say "not run"
-/// because of the second would be untrue of the first.
+/// The first attempt breaks after it was sent, the second is refused by its target. Reporting "not
+/// run" because of the second attempt would be wrong for the first.
 #[test]
-fn earlier_try_that_may_have_run_is_never_forgotten() {
+fn earlier_attempt_that_may_have_run_determines_the_error() {
     let mut fixture = fixture(3);
     fixture.offer(1, "dispatch", true);
     assert_eq!(started_on(&fixture.fail(1, ErrorKind::TargetLost, Ran::Unknown)).len(), 1);
@@ -154,9 +155,9 @@
     assert_eq!(refused_with(&out), Some(ErrorKind::TargetLost));
 }
 
-/// The same, and the deadline passes while the request waits for its second try.
+/// As above, but the deadline passes while the request waits for its retry.
 #[test]
-fn deadline_of_a_second_try_does_not_say_not_run() {
+fn deadline_of_a_retry_is_not_reported_as_not_run() {
     let mut fixture = fixture(1);
     for ticket in 1..=2 {
         fixture.offer(ticket, "dispatch", true);
@@ -180,10 +181,10 @@
     assert_eq!(kinds, [ErrorKind::TargetLost]);
 }
 
-/// One of two hosts is set aside, and a try on the other is refused. A request that waited for the
-/// host set aside would wait until its deadline, and everything behind it too.
+/// One of two hosts is ejected, and an attempt on the other is refused. A request that waited for
+/// the ejected host would block the queue until its deadline.
 #[test]
-fn second_try_does_not_wait_for_a_host_that_is_set_aside() {
+fn retry_does_not_wait_for_an_ejected_host() {
     let mut fixture = fixture(2);
     for ticket in 0..40 {
         let out = fixture.offer(ticket, "desk", false);
@@ -191,7 +192,10 @@
         fixture.now += Duration::from_millis(10);
         fixture.input(DispatchInput::Finished(Ticket(ticket), Outcome::Answered { status }));
     }
-    assert_eq!(fixture.dispatcher.trouble(&HostName::from("host-0")), Some(Trouble::Failing));
+    assert_eq!(
+        fixture.dispatcher.ejection_reason(&HostName::from("host-0")),
+        Some(EjectionReason::Failing)
+    );
     assert_eq!(started_on(&fixture.offer(100, "desk", false)), ["host-1"]);
 
     let out = fixture.fail(100, ErrorKind::TargetRefused, Ran::No);
@@ -199,10 +203,10 @@
     assert_eq!(started_on(&out), ["host-1"]);
 }
 
-/// One of two hosts is set aside, and the other leaves for maintenance. Requests would wait for the
-/// next probe, up to half a minute, though the host may long be well.
+/// One of two hosts is ejected, and the other leaves for maintenance. Requests would wait for the
+/// next probe, up to half a minute, though the host may have recovered long ago.
 #[test]
-fn host_set_aside_is_used_when_no_other_is_left() {
+fn ejected_host_is_used_when_no_other_is_left() {
     let mut fixture = fixture(2);
     for ticket in 0..40 {
         let out = fixture.offer(ticket, "desk", false);
@@ -219,10 +223,10 @@
     assert_eq!(started_on(&out), ["host-0"]);
 }
 
-/// A try on the host with free slots is refused, and the only other host is full for long. The
-/// request may wait for it for a moment, but must not hold up the queue.
+/// An attempt on the host with free slots is refused, and the only other host is full for long. The
+/// request may wait for it briefly, but must not block the queue.
 #[test]
-fn second_try_waits_for_another_host_for_a_moment_only() {
+fn retry_waits_for_another_host_only_briefly() {
     let mut fixture = fixture(2);
     for ticket in 1..=4 {
         fixture.offer(ticket, "desk", true);
@@ -257,7 +261,7 @@
     assert_eq!(starts, ["host-1"]);
 }
 
-/// A host comes back from a reboot with cold caches. At first it takes one request of all entries
+/// A host comes back from a reboot with cold caches. At first it gets one request from all entries
 /// together, and its full share only after a while.
 #[test]
 fn warming_target_gets_few_requests_at_first() {
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn team_holds_no_more_slots_than_its_quota() {
+fn team_uses_no_more_slots_than_its_quota() {
     let mut fixture = fixture(4);
 
     let started: usize =
@@ -287,7 +291,7 @@
 }
 
 #[test]
-fn refusals_name_what_is_the_matter() {
+fn refusals_name_their_reason() {
     let mut fixture = fixture(1);
     fixture.view.admitting = false;
     fixture.publish();
@@ -306,7 +310,7 @@
 }
 
 #[test]
-fn cancelled_request_gets_no_answer_and_no_second_try() {
+fn cancelled_request_gets_no_response_and_no_retry() {
     let mut fixture = fixture(1);
     fixture.offer(1, "desk", true);
     fixture.input(DispatchInput::Cancelled(Ticket(1)));
@@ -317,8 +321,8 @@
     assert!(fixture.dispatcher.in_flight().is_empty());
 }
 
-/// Another entry grants a slot whose term has ended on the way: using it could put more requests
-/// on the target than it has slots. It goes back to its owner unused.
+/// Another entry grants a slot whose term has ended before the grant arrives: using it could put
+/// more requests on the target than it has slots. It is returned to its owner unused.
 #[test]
 fn late_grant_is_returned_and_not_used() {
     let mut fixture = fixture(1);
@@ -344,8 +348,8 @@
     assert_eq!(started, 2);
 }
 
-/// A lent slot is not used by its owner until it comes back, or until the borrower has been
-/// silent for longer than it may be.
+/// A lent slot is not used by its owner until it is returned, or until the borrower has sent no
+/// notice for longer than it may.
 #[test]
 fn lent_slot_is_not_used_until_it_comes_back() {
     let mut fixture = fixture(1);
@@ -387,5 +391,8 @@
 
     assert_eq!(report.get(&HostName::from("host-0")), Some(&1_000));
     assert_eq!(report.get(&HostName::from("host-1")), Some(&0));
-    assert_eq!(fixture.dispatcher.trouble(&HostName::from("host-0")), Some(Trouble::Failing));
+    assert_eq!(
+        fixture.dispatcher.ejection_reason(&HostName::from("host-0")),
+        Some(EjectionReason::Failing)
+    );
 }
--- a/crates/borageswitch_policy/src/fair_queue/tests.rs
+++ b/crates/borageswitch_policy/src/fair_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn request(ticket: u64, caller: &str, team: Option<(&str, u32)>) -> Waiting {
-    Waiting {
+fn request(ticket: u64, caller: &str, team: Option<(&str, u32)>) -> QueuedRequest {
+    QueuedRequest {
         offer: Offer {
             ticket: Ticket(ticket),
             caller: CallerName::from(caller),
@@ -14,15 +14,15 @@
         weight: team.map_or(NO_TEAM_WEIGHT, |(_, weight)| weight),
         arrived: Time::ZERO,
         expected: Duration::from_millis(10),
-        allowance: Duration::from_millis(30),
-        length: Length::Short,
-        tries: 0,
+        upper_estimate: Duration::from_millis(30),
+        length: RunLength::Short,
+        attempts: 0,
         avoid: None,
         may_have_run: None,
     }
 }
 
-const LANE: LaneKey = LaneKey { priority: Priority::Normal, length: Length::Short };
+const LANE: LaneKey = LaneKey { priority: Priority::Normal, length: RunLength::Short };
 
 fn drain(queue: &mut FairQueue, count: usize) -> Vec<CallerName> {
     let mut served = Vec::new();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn quiet_caller_is_served_next_however_much_another_sends() {
+fn quiet_caller_is_served_next_whatever_another_sends() {
     let mut queue = FairQueue::default();
     for ticket in 0..1_000 {
         queue.push(request(ticket, "hot", None));
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn a_callers_own_requests_keep_their_order_and_second_tries_go_first() {
+fn requests_of_a_caller_keep_their_order_and_retries_go_first() {
     let mut queue = FairQueue::default();
     queue.push(request(1, "a", None));
     queue.push(request(2, "a", None));
     let mut again = request(3, "a", None);
-    again.tries = 1;
+    again.attempts = 1;
     queue.push(again);
 
     let order: Vec<u64> = std::iter::from_fn(|| {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_team_that_is_held_back_is_passed_over() {
+fn team_at_its_quota_is_skipped() {
     let mut queue = FairQueue::default();
     queue.push(request(1, "a", Some(("full", 1))));
     queue.push(request(2, "b", Some(("other", 1))));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn every_trace_of_removed_requests_goes() {
+fn removed_requests_leave_no_state() {
     let mut queue = FairQueue::default();
     for ticket in 0..10_000 {
         queue.push(request(ticket, &format!("c{}", ticket % 7), None));
@@ -118,7 +118,7 @@
     }
 
     assert!(queue.is_empty());
-    assert_eq!(queue.callers(), 0);
+    assert_eq!(queue.caller_count(), 0);
     assert_eq!(queue.first_too_late(Time::MAX), None);
     assert_eq!(
         queue.backlog(Priority::Batch, &CallerName::from("c1"), &None, 1).all,
--- a/crates/borageswitch_policy/src/lib.rs
+++ b/crates/borageswitch_policy/src/lib.rs
@@ -1,28 +1,30 @@
-//! Decisions under load, free of I/O and clocks.
+//! Load-handling decisions, free of I/O and clocks.
 //!
-//! The [`dispatch`] module is the whole of it as one state machine for one service: requests come
-//! in, starts and refusals come out. Each decision that it composes stands in a module of its own
-//! that tells which load pattern it answers, what happens without it and where its figures come
-//! from:
+//! The [`dispatch`] module is the state machine of one service at one entry: requests and their
+//! outcomes go in, starts and refusals come out. Each decision that it combines has a module of its
+//! own. The documentation of each module names the load pattern that it handles, what happens
+//! without it, and the reasons for its constants:
 //!
-//! - [`fair_queue`] shares the turns among teams and callers, [`class_order`] among priorities;
-//! - [`shedding`] refuses what would not end in time, and keeps a queue from standing;
-//! - [`run_times`] learns how long requests run, [`short_reserve`] keeps slots for short ones;
-//! - [`targets`] chooses where to send, with care for hosts that fail, crawl or warm up;
-//! - [`retry_budget`] bounds second tries;
-//! - [`dealing`] shares a target's slots among entries, [`loans`] lets them borrow.
+//! - [`fair_queue`] divides the slots among teams and callers, [`priority_order`] among priorities;
+//! - [`shedding`] refuses requests that would miss their deadlines and prevents standing queues;
+//! - [`run_times`] estimates how long requests run, [`short_reservation`] reserves slots for short
+//!   ones;
+//! - [`targets`] chooses the target of a request and handles failing, slow and warming hosts;
+//! - [`retry_budget`] limits retries;
+//! - [`slot_allocation`] divides a target's slots among the entries, [`loans`] lets entries borrow
+//!   slots.
 //!
-//! [`model`] plays whole sites of entries, callers and targets in virtual time; tests and
-//! benchmarks judge the decisions by what its callers receive.
+//! [`model`] simulates sites of entries, callers and targets in virtual time. Tests and benchmarks
+//! judge the decisions by the responses that the simulated callers receive.
 
-pub mod class_order;
-pub mod dealing;
 pub mod dispatch;
 pub mod fair_queue;
 pub mod loans;
 pub mod model;
+pub mod priority_order;
 pub mod retry_budget;
 pub mod run_times;
 pub mod shedding;
-pub mod short_reserve;
+pub mod short_reservation;
+pub mod slot_allocation;
 pub mod targets;
--- a/crates/borageswitch_policy/src/model/first_come.rs
+++ b/crates/borageswitch_policy/src/model/first_come.rs
@@ -1,7 +1,8 @@
-//! The plain baseline: one first-come queue at each entry over its dealt slots.
+//! The baseline: one first-come queue at each entry over its allocated slots.
 //!
-//! It binds a request to the target with the fewest requests in flight, drops what is past its
-//! deadline when its turn comes, refuses when the queue is full, and knows nothing else.
+//! It binds a request to the target with the fewest requests in flight, drops a request that is
+//! past its deadline when it reaches the front, refuses when the queue is full, and does nothing
+//! else.
 
 use std::{
     collections::{BTreeMap, VecDeque},
--- a/crates/borageswitch_policy/src/model/mod.rs
+++ b/crates/borageswitch_policy/src/model/mod.rs
@@ -1,9 +1,9 @@
-//! Whole sites of callers, entries and targets in virtual time, without network.
+//! Simulates sites of callers, entries and targets in virtual time, without network.
 //!
-//! A [`Plan`] says which callers send what, how many entries share which targets, and what goes
-//! wrong with them. [`site::run`] plays it with the product's dispatchers or with the plain
-//! first-come baseline, on the same requests, and reports what the callers received. The same
-//! seed gives the same report.
+//! A [`Plan`] describes which callers send which requests, how many entries share which targets,
+//! and which faults occur. [`site::run`] simulates it with the product's dispatchers or with the
+//! first-come baseline, on the same requests, and reports what the callers received. The same seed
+//! gives the same report.
 
 mod first_come;
 pub mod plan;
--- a/crates/borageswitch_policy/src/model/plan.rs
+++ b/crates/borageswitch_policy/src/model/plan.rs
@@ -1,22 +1,22 @@
-//! What is played.
+//! The description of a simulated site.
 
 use std::time::Duration;
 
 use crate::dispatch::Priority;
 
-/// What decides at the entries.
+/// The implementation that dispatches requests at the entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
 pub enum Engine {
     /// The product's dispatcher.
     Policy,
-    /// The product's dispatcher with dealt slots alone: its messages about slots are dropped.
+    /// The product's dispatcher with allocated slots only: its messages about slots are dropped.
     PolicyWithoutLoans,
-    /// One first-come queue at each entry over its dealt slots.
+    /// One first-come queue at each entry over its allocated slots.
     FirstCome,
 }
 
-/// How long requests run on a healthy target.
+/// The distribution of run times on a healthy target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunTime {
     /// Always the same.
@@ -25,12 +25,12 @@
     Exponential(Duration),
 }
 
-/// What goes wrong with a target, for as long as the plan says.
+/// A fault of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// It runs this many times as long.
     Slow(f64),
-    /// It answers everything with a server error after a millisecond.
+    /// It answers every request with a server error after a millisecond.
     FailsFast,
     /// It breaks every connection after a millisecond.
     Breaks,
@@ -38,12 +38,12 @@
     Refuses,
 }
 
-/// A fault of one target or all.
+/// A fault of one target or of all targets during a part of the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// Which target; all without one.
+    /// The target; `None` for all.
     pub target: Option<usize>,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
     /// When it begins, from the start of the plan.
     pub from: Duration,
@@ -54,35 +54,35 @@
 /// Requests of one kind that arrive at random at a mean rate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stream {
-    /// Under which name the report counts them.
+    /// The group under which the report counts them.
     pub group: &'static str,
-    /// How many callers send them, each at an equal part of the rate.
+    /// The number of callers; each sends an equal part of the rate.
     pub callers: u32,
     /// The callers' team and its weight.
     pub team: Option<(&'static str, u32)>,
     /// Requests a second, of all callers together.
     pub rate: f64,
-    /// What the requests do.
+    /// The kind of request, see [`Offer::kind`](crate::dispatch::Offer::kind).
     pub kind: u64,
     /// How long they run.
     pub run: RunTime,
-    /// How long the callers wait.
+    /// The time from arrival to deadline.
     pub deadline: Duration,
-    /// How urgent they are.
+    /// Their priority.
     pub priority: Priority,
-    /// Whether a second try is harmless.
+    /// Whether they can be retried.
     pub retryable: bool,
-    /// When the first may arrive.
+    /// When the first may arrive, from the start of the plan.
     pub from: Duration,
-    /// When no more arrive.
+    /// When the last may arrive.
     pub until: Duration,
-    /// When all callers go away at once.
+    /// When all callers disconnect at once, if they do.
     pub cancelled_at: Option<Duration>,
 }
 
 impl Stream {
-    /// A stream of fifty callers for the whole plan: idempotent requests that run exponentially
-    /// for `mean` and wait ten seconds.
+    /// Creates a stream of fifty callers for the whole plan: idempotent requests that run
+    /// exponentially for `mean` and wait ten seconds.
     pub fn new(group: &'static str, rate: f64, mean: Duration) -> Self {
         Self {
             group,
@@ -101,37 +101,38 @@
     }
 }
 
-/// A site and what happens to it.
+/// A site, its load and its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// From which all chance follows.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How many entries there are.
+    /// The number of entries.
     pub entries: usize,
-    /// How unevenly callers reach them: the n-th entry gets a part as `1 / n^skew`.
+    /// How unevenly callers reach the entries: the n-th entry gets a part proportional to
+    /// `1 / n^skew`.
     pub skew: f64,
-    /// How many targets there are.
+    /// The number of targets.
     pub targets: usize,
-    /// The slots of each.
+    /// The slots of each target.
     pub slots: u16,
     /// The slots that the availability budget promises.
     pub promised_slots: u32,
     /// How long requests arrive.
     pub length: Duration,
-    /// What is left out of the waiting and response times: the start.
+    /// The time at the start that is excluded from the waiting and response times.
     pub warm_up: Duration,
-    /// How long a message takes from one entry to another.
+    /// The delay of a message from one entry to another.
     pub message_delay: Duration,
-    /// What arrives.
+    /// The requests.
     pub streams: Vec<Stream>,
-    /// What goes wrong.
+    /// The faults.
     pub faults: Vec<PlannedFault>,
-    /// When the last entry is replaced by a new one, if it is: the views change at that moment.
+    /// When the last entry is replaced by a new one, if it is; the views change at that moment.
     pub entry_replaced_at: Option<Duration>,
 }
 
 impl Plan {
-    /// One entry before ten targets with eight slots, for half a minute.
+    /// Creates a plan of one entry and ten targets with eight slots each, for half a minute.
     pub fn new(seed: u64, streams: Vec<Stream>) -> Self {
         Self {
             seed,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The slots of all targets.
+    /// Returns the slots of all targets together.
     pub fn all_slots(&self) -> f64 {
         self.targets as f64 * f64::from(self.slots)
     }
--- a/crates/borageswitch_policy/src/model/requests.rs
+++ b/crates/borageswitch_policy/src/model/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a plan, drawn once so that every engine meets the same.
+//! The requests of a plan, drawn once so that every engine gets the same ones.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     pub(super) caller: CallerName,
     pub(super) entry: usize,
     pub(super) at: Time,
-    pub(super) runs: Duration,
+    pub(super) run_time: Duration,
 }
 
-/// All requests, in the order of their arrival.
+/// Draws all requests, in the order of their arrival.
 pub(super) fn draw(plan: &Plan) -> Vec<Request> {
     let mut rng = Rng::with_seed(plan.seed);
     let mut requests = Vec::new();
@@ -40,7 +40,7 @@
         if at >= end {
             return;
         }
-        let runs = match stream.run {
+        let run_time = match stream.run {
             RunTime::Constant(time) => time,
             RunTime::Exponential(mean) => mean.mul_f64(exponential(rng, 1.0)),
         };
@@ -49,7 +49,7 @@
             caller: callers[rng.usize(..callers.len())].clone(),
             entry: pick_entry(plan, rng),
             at: Time::ZERO + Duration::from_secs_f64(at),
-            runs,
+            run_time,
         });
     }
 }
--- a/crates/borageswitch_policy/src/model/site.rs
+++ b/crates/borageswitch_policy/src/model/site.rs
@@ -1,4 +1,4 @@
-//! Plays a plan.
+//! Simulates a plan.
 
 use std::{
     cmp::Reverse,
@@ -22,10 +22,10 @@
 };
 use crate::dispatch::{DispatchInput, DispatchOutput, Dispatcher, Offer, Outcome, Ticket};
 
-/// How often each entry is told that time has passed.
+/// The interval between two ticks of each entry.
 const TICK: Duration = Duration::from_millis(10);
-/// How long a plan is played on after its last arrival, so that every request ends.
-const DRAIN: Duration = Duration::from_secs(400);
+/// How long the simulation continues after the last arrival, so that every request ends.
+const DRAIN_TIME: Duration = Duration::from_secs(400);
 
 #[derive(Debug)]
 enum Entry {
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     Arrival(usize),
     End(usize, Ticket),
     Message(u64),
@@ -49,7 +49,7 @@
     has_started: bool,
     has_run: bool,
     is_cancelled: bool,
-    on: Option<(HostName, Outcome)>,
+    running_on: Option<(HostName, Outcome)>,
 }
 
 struct Site<'a> {
@@ -59,28 +59,28 @@
     names: Vec<DaemonName>,
     entries: Vec<Entry>,
     targets: SimTargets<'a>,
-    heap: BinaryHeap<Reverse<(Time, u64, Happening)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    sequence: u64,
     open: BTreeMap<Ticket, OpenRequest>,
     messages: BTreeMap<u64, (DaemonName, DaemonName, SlotMessage)>,
     report: SiteReport,
 }
 
-/// Plays `plan` with `engine` until every request has ended.
+/// Simulates `plan` with `engine` until every request has ended.
 ///
 /// # Panics
 ///
-/// When a request gets no final answer, or two: a broken promise of the engine.
+/// Panics when a request gets no final response, or two; either is a fault of the engine.
 pub fn run(plan: &Plan, engine: Engine) -> SiteReport {
     let mut site = Site::new(plan, engine);
-    site.plan_ahead();
-    while let Some(Reverse((now, _, happening))) = site.heap.pop() {
-        site.happen(now, happening);
+    site.schedule_events();
+    while let Some(Reverse((now, _, event))) = site.events.pop() {
+        site.handle_event(now, event);
     }
     assert!(site.open.is_empty(), "{} requests never ended", site.open.len());
-    site.report.most_in_flight = site.targets.most_in_flight;
+    site.report.max_in_flight = site.targets.max_in_flight;
     site.report.overcommitted = site.targets.overcommitted;
-    site.report.tries = site.targets.tries;
+    site.report.attempts = site.targets.attempts;
     site.report
 }
 
@@ -94,8 +94,8 @@
             names: names.collect(),
             entries: Vec::new(),
             targets: SimTargets::new(plan),
-            heap: BinaryHeap::new(),
-            order: 0,
+            events: BinaryHeap::new(),
+            sequence: 0,
             open: BTreeMap::new(),
             messages: BTreeMap::new(),
             report: SiteReport::default(),
@@ -117,39 +117,39 @@
         Entry::Policy(dispatcher)
     }
 
-    fn plan_ahead(&mut self) {
+    fn schedule_events(&mut self) {
         for n in 0..self.requests.len() {
-            self.push(self.requests[n].at, Happening::Arrival(n));
+            self.push(self.requests[n].at, Event::Arrival(n));
         }
         for (n, stream) in self.plan.streams.iter().enumerate() {
             if let Some(at) = stream.cancelled_at {
-                self.push(Time::ZERO + at, Happening::Cancel(n));
+                self.push(Time::ZERO + at, Event::Cancel(n));
             }
         }
         if let Some(at) = self.plan.entry_replaced_at {
-            self.push(Time::ZERO + at, Happening::Replace);
+            self.push(Time::ZERO + at, Event::Replace);
         }
-        self.push(Time::ZERO, Happening::Tick);
+        self.push(Time::ZERO, Event::Tick);
     }
 
-    fn push(&mut self, at: Time, happening: Happening) {
-        self.order += 1;
-        self.heap.push(Reverse((at, self.order, happening)));
+    fn push(&mut self, at: Time, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn happen(&mut self, now: Time, happening: Happening) {
-        match happening {
-            Happening::Arrival(n) => self.arrive(now, n),
-            Happening::End(entry, ticket) => self.end(now, entry, ticket),
-            Happening::Message(id) => {
+    fn handle_event(&mut self, now: Time, event: Event) {
+        match event {
+            Event::Arrival(n) => self.arrive(now, n),
+            Event::End(entry, ticket) => self.end(now, entry, ticket),
+            Event::Message(id) => {
                 let Some((from, to, message)) = self.messages.remove(&id) else { return };
                 if let Some(entry) = self.names.iter().position(|name| *name == to) {
                     self.input(now, entry, DispatchInput::Slots(from, message));
                 }
             }
-            Happening::Cancel(stream) => self.cancel(now, stream),
-            Happening::Replace => self.replace(now),
-            Happening::Tick => self.tick(now),
+            Event::Cancel(stream) => self.cancel(now, stream),
+            Event::Replace => self.replace(now),
+            Event::Tick => self.tick(now),
         }
     }
 
@@ -158,8 +158,8 @@
             self.input(now, entry, DispatchInput::Tick);
         }
         let arriving = now < Time::ZERO + self.plan.length;
-        if arriving || (!self.open.is_empty() && now < Time::ZERO + self.plan.length + DRAIN) {
-            self.push(now + TICK, Happening::Tick);
+        if arriving || (!self.open.is_empty() && now < Time::ZERO + self.plan.length + DRAIN_TIME) {
+            self.push(now + TICK, Event::Tick);
         }
     }
 
@@ -180,13 +180,13 @@
             has_started: false,
             has_run: false,
             is_cancelled: false,
-            on: None,
+            running_on: None,
         };
         self.open.insert(ticket, open);
-        let is_later = self.is_later(ticket);
+        let after_warm_up = self.after_warm_up(ticket);
         let group = self.group(ticket);
         group.offered += 1;
-        group.offered_later += u64::from(is_later);
+        group.offered_after_warm_up += u64::from(after_warm_up);
         self.input(now, entry, DispatchInput::Offered(offer));
     }
 
@@ -205,13 +205,13 @@
                 DispatchOutput::Start { ticket, host, .. } => self.start(now, ticket, host),
                 DispatchOutput::Refuse { ticket, kind, .. } => {
                     let open = self.open.remove(&ticket).expect("a refused request was open");
-                    assert!(open.on.is_none(), "{ticket} was refused while it ran");
+                    assert!(open.running_on.is_none(), "{ticket} was refused while it ran");
                     let after = now.since(self.requests[ticket.0 as usize].at);
-                    let is_later = self.is_later(ticket);
+                    let after_warm_up = self.after_warm_up(ticket);
                     let group = self.group(ticket);
                     if open.has_started {
                         group.failed += 1;
-                        group.failed_later += u64::from(is_later);
+                        group.failed_after_warm_up += u64::from(after_warm_up);
                     }
                     group.refuse(kind, after, open.has_run);
                 }
@@ -227,21 +227,21 @@
         self.report.messages += 1;
         let id = self.report.messages;
         self.messages.insert(id, (self.names[from].clone(), to, message));
-        self.push(now + self.plan.message_delay, Happening::Message(id));
+        self.push(now + self.plan.message_delay, Event::Message(id));
     }
 
     fn start(&mut self, now: Time, ticket: Ticket, host: HostName) {
-        let runs = self.requests[ticket.0 as usize].runs;
-        let fate = self.targets.start(now, &host, runs);
+        let run_time = self.requests[ticket.0 as usize].run_time;
+        let simulated = self.targets.start(now, &host, run_time);
         let open = self.open.get_mut(&ticket).expect("a started request is open");
-        assert!(open.on.is_none(), "{ticket} was started while it ran");
+        assert!(open.running_on.is_none(), "{ticket} was started while it ran");
         let is_first = !open.has_started;
         open.has_started = true;
-        open.has_run |= fate.runs;
-        open.on = Some((host, fate.outcome));
+        open.has_run |= simulated.began;
+        open.running_on = Some((host, simulated.outcome));
         let entry = open.entry;
-        self.push(now + fate.after, Happening::End(entry, ticket));
-        if is_first && self.is_later(ticket) {
+        self.push(now + simulated.after, Event::End(entry, ticket));
+        if is_first && self.after_warm_up(ticket) {
             let waited = now.since(self.requests[ticket.0 as usize].at);
             self.group(ticket).waits.saturating_record(waited.as_micros() as u64);
         }
@@ -249,7 +249,7 @@
 
     fn end(&mut self, now: Time, entry: usize, ticket: Ticket) {
         let open = self.open.get_mut(&ticket).expect("a request that ends is open");
-        let (host, outcome) = open.on.take().expect("a request that ends was started");
+        let (host, outcome) = open.running_on.take().expect("a request that ends was started");
         let is_cancelled = open.is_cancelled;
         self.targets.end(&host);
         if is_cancelled {
@@ -268,16 +268,16 @@
         let request = &self.requests[ticket.0 as usize];
         let took = now.since(request.at);
         let in_time = took <= self.plan.streams[request.stream].deadline;
-        let is_later = self.is_later(ticket);
+        let after_warm_up = self.after_warm_up(ticket);
         let group = self.group(ticket);
         if status >= 500 {
             group.failed += 1;
-            group.failed_later += u64::from(is_later);
+            group.failed_after_warm_up += u64::from(after_warm_up);
             return;
         }
-        if is_later {
+        if after_warm_up {
             group.responses.saturating_record(took.as_micros() as u64);
-            group.good_later += u64::from(in_time);
+            group.good_after_warm_up += u64::from(in_time);
         }
         if in_time {
             group.good += 1;
@@ -287,14 +287,14 @@
         }
     }
 
-    /// All callers of a stream go away at once.
+    /// Makes all callers of a stream disconnect at once.
     fn cancel(&mut self, now: Time, stream: usize) {
         let of_stream = |ticket: &&Ticket| self.requests[ticket.0 as usize].stream == stream;
         let tickets: Vec<Ticket> = self.open.keys().filter(of_stream).copied().collect();
         for ticket in tickets {
             let Some(open) = self.open.get_mut(&ticket) else { continue };
             open.is_cancelled = true;
-            let (entry, is_running) = (open.entry, open.on.is_some());
+            let (entry, is_running) = (open.entry, open.running_on.is_some());
             if !is_running {
                 self.open.remove(&ticket);
             }
@@ -303,12 +303,12 @@
         }
     }
 
-    /// The last entry goes once it is idle, and a new one takes its place; every entry learns of
-    /// it at the same moment.
+    /// Replaces the last entry by a new one once it is idle; every entry gets the new view at the
+    /// same moment.
     fn replace(&mut self, now: Time) {
         let last = self.names.len() - 1;
         if self.open.values().any(|open| open.entry == last) {
-            self.push(now + TICK, Happening::Replace);
+            self.push(now + TICK, Event::Replace);
             return;
         }
         self.report.replaced_at = Some(now.since(Time::ZERO));
@@ -329,7 +329,7 @@
         self.report.groups.entry(self.plan.streams[stream].group).or_default()
     }
 
-    fn is_later(&self, ticket: Ticket) -> bool {
+    fn after_warm_up(&self, ticket: Ticket) -> bool {
         self.requests[ticket.0 as usize].at >= Time::ZERO + self.plan.warm_up
     }
 }
--- a/crates/borageswitch_policy/src/model/targets.rs
+++ b/crates/borageswitch_policy/src/model/targets.rs
@@ -1,4 +1,4 @@
-//! What the targets do with what they are sent.
+//! Simulates what the targets do with the requests that they are sent.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,54 +7,59 @@
 use super::plan::{Fault, Plan};
 use crate::dispatch::Outcome;
 
-/// How long it takes until a failure is noticed.
-const FAILS_AFTER: Duration = Duration::from_millis(1);
+/// The time until a failure is noticed.
+const FAILURE_DELAY: Duration = Duration::from_millis(1);
 
-/// What becomes of a try.
+/// The simulated result of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Fate {
+pub(super) struct SimulatedAttempt {
     pub(super) after: Duration,
     pub(super) outcome: Outcome,
     /// Whether the target began to run it.
-    pub(super) runs: bool,
+    pub(super) began: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct SimTargets<'a> {
     plan: &'a Plan,
     in_flight: BTreeMap<HostName, u32>,
-    pub(super) most_in_flight: u32,
+    pub(super) max_in_flight: u32,
     pub(super) overcommitted: u64,
-    pub(super) tries: u64,
+    pub(super) attempts: u64,
 }
 
 impl<'a> SimTargets<'a> {
     pub(super) fn new(plan: &'a Plan) -> Self {
-        Self { plan, in_flight: BTreeMap::new(), most_in_flight: 0, overcommitted: 0, tries: 0 }
+        Self { plan, in_flight: BTreeMap::new(), max_in_flight: 0, overcommitted: 0, attempts: 0 }
     }
 
-    pub(super) fn start(&mut self, now: Time, host: &HostName, runs: Duration) -> Fate {
-        self.tries += 1;
+    pub(super) fn start(
+        &mut self,
+        now: Time,
+        host: &HostName,
+        run_time: Duration,
+    ) -> SimulatedAttempt {
+        self.attempts += 1;
         let in_flight = self.in_flight.entry(host.clone()).or_default();
         *in_flight += 1;
-        self.most_in_flight = self.most_in_flight.max(*in_flight);
+        self.max_in_flight = self.max_in_flight.max(*in_flight);
         if *in_flight > u32::from(self.plan.slots) {
             self.overcommitted += 1;
             return refused();
         }
         match self.fault(now, host) {
-            None => answered(runs, 200),
-            Some(Fault::Slow(times)) => answered(runs.mul_f64(times), 200),
-            Some(Fault::FailsFast) => answered(FAILS_AFTER, 500),
+            None => answered(run_time, 200),
+            Some(Fault::Slow(times)) => answered(run_time.mul_f64(times), 200),
+            Some(Fault::FailsFast) => answered(FAILURE_DELAY, 500),
             Some(Fault::Refuses) => refused(),
-            Some(Fault::Breaks) => Fate {
-                after: FAILS_AFTER,
+            Some(Fault::Breaks) => SimulatedAttempt {
+                after: FAILURE_DELAY,
                 outcome: Outcome::Failed {
                     kind: ErrorKind::TargetLost,
                     ran: Ran::Unknown,
                     retryable: true,
                 },
-                runs: true,
+                began: true,
             },
         }
     }
@@ -67,20 +72,21 @@
 
     fn fault(&self, now: Time, host: &HostName) -> Option<Fault> {
         let now = now.since(Time::ZERO);
-        let is_met = |target: Option<usize>| target.is_none_or(|n| super::views::host(n) == *host);
+        let applies_to =
+            |target: Option<usize>| target.is_none_or(|n| super::views::host(n) == *host);
         let faults = self.plan.faults.iter();
         faults
-            .filter(|fault| is_met(fault.target) && (fault.from..fault.until).contains(&now))
+            .filter(|fault| applies_to(fault.target) && (fault.from..fault.until).contains(&now))
             .map(|fault| fault.fault)
             .next()
     }
 }
 
-fn answered(after: Duration, status: u16) -> Fate {
-    Fate { after, outcome: Outcome::Answered { status }, runs: true }
+fn answered(after: Duration, status: u16) -> SimulatedAttempt {
+    SimulatedAttempt { after, outcome: Outcome::Answered { status }, began: true }
 }
 
-fn refused() -> Fate {
+fn refused() -> SimulatedAttempt {
     let outcome = Outcome::Failed { kind: ErrorKind::TargetRefused, ran: Ran::No, retryable: true };
-    Fate { after: FAILS_AFTER, outcome, runs: false }
+    SimulatedAttempt { after: FAILURE_DELAY, outcome, began: false }
 }
--- a/crates/borageswitch_policy/src/model/tests.rs
+++ b/crates/borageswitch_policy/src/model/tests.rs
@@ -6,34 +6,34 @@
 
 const SEED: u64 = 7;
 
-/// Three times as many requests come as can run. Without early refusal everything waits until it
-/// is too late: every slot is busy, and callers see almost nothing but timeouts.
+/// Three times as many requests arrive as can run. Without early refusal every request waits until
+/// it is too late: every slot is busy, and callers see almost nothing but timeouts.
 #[test]
-fn overload_keeps_goodput_and_refuses_truly_and_early() {
+fn overload_keeps_goodput_and_refuses_correctly_and_early() {
     let (goodput, report) = overload_goodput(SEED, 1, Engine::Policy);
     let (baseline, _) = overload_goodput(SEED, 1, Engine::FirstCome);
 
     let group = report.group("usual");
     assert!(goodput >= 0.95, "{goodput}");
     assert!(baseline < 0.5, "{baseline}");
-    assert_eq!(group.untrue, 0);
+    assert_eq!(group.false_not_run, 0);
     let refused_late = Duration::from_micros(group.refusals.value_at_percentile(90.0));
     assert!(refused_late <= Duration::from_millis(10), "{refused_late:?}");
 }
 
-/// The same at nine entries that deal the slots among them: refusals at one must not leave slots
-/// idle at another.
+/// As above, with nine entries that divide the slots among them: refusals at one entry must not
+/// leave slots idle at another.
 #[test]
 fn overload_keeps_goodput_over_nine_entries() {
     let (goodput, report) = overload_goodput(SEED, 9, Engine::Policy);
 
     assert!(goodput >= 0.95, "{goodput}");
-    assert_eq!((report.most_in_flight, report.overcommitted), (8, 0));
+    assert_eq!((report.max_in_flight, report.overcommitted), (8, 0));
 }
 
-/// One caller sends twenty times its part. In a first-come queue everybody waits behind it.
+/// One caller sends twenty times its part. In a first-come queue all other callers wait behind it.
 #[test]
-fn hot_caller_hurts_no_other() {
+fn hot_caller_does_not_delay_others() {
     let (ratio, report) = hot_caller_ratio(SEED, Engine::Policy);
     let (baseline, _) = hot_caller_ratio(SEED, Engine::FirstCome);
 
@@ -45,7 +45,7 @@
 
 /// One target of ten runs at a tenth of its speed. Requests sent there take ten times as long.
 #[test]
-fn slow_target_is_hardly_noticed() {
+fn slow_target_hardly_affects_response_times() {
     let (ratio, _) = slow_target_ratio(SEED, 1, Engine::Policy);
     let (shared, _) = slow_target_ratio(SEED, 9, Engine::Policy);
 
@@ -53,8 +53,8 @@
     assert!(shared <= 1.3, "{shared}");
 }
 
-/// Long jobs come among short requests, some of them in a burst. First come, they take every slot
-/// and the short ones wait for seconds.
+/// Long jobs arrive among short requests, some of them in a burst. In a first-come queue they take
+/// every slot and the short requests wait for seconds.
 #[test]
 fn short_requests_do_not_wait_behind_long_ones() {
     let (ratio, report) = long_among_short_ratio(SEED, Engine::Policy);
@@ -66,10 +66,10 @@
     assert!(long.good * 10 >= long.offered * 9, "{} of {}", long.good, long.offered);
 }
 
-/// A host fails everything at once, so it always has a free slot and draws all work; callers see
-/// half of their requests fail.
+/// A host fails every request at once, so it always has a free slot and attracts all work; half of
+/// the callers' requests fail.
 #[test]
-fn host_that_fails_everything_draws_no_work() {
+fn host_that_fails_everything_attracts_no_work() {
     for (entries, fault) in [(1, Fault::FailsFast), (9, Fault::FailsFast), (9, Fault::Breaks)] {
         let (permille, _) = failing_host_permille(SEED, entries, fault, Engine::Policy);
 
@@ -79,32 +79,32 @@
     assert!(baseline > 100.0, "{baseline}");
 }
 
-/// Every target breaks its connections for five seconds. Retries of everything would triple the
-/// load on targets that can't bear it.
+/// Every target breaks its connections for five seconds. Retrying every request would triple the
+/// load on targets that can't handle it.
 #[test]
 fn outage_is_not_multiplied_by_retries() {
-    let (tries, report) = outage_tries(SEED, Engine::Policy);
+    let (attempts, report) = outage_attempt_ratio(SEED, Engine::Policy);
 
     let group = report.group("usual");
-    assert!(tries <= 1.1, "{tries}");
-    assert_eq!(group.untrue, 0);
+    assert!(attempts <= 1.1, "{attempts}");
+    assert_eq!(group.false_not_run, 0);
     assert!(group.good * 10 >= group.offered * 7, "{} of {}", group.good, group.offered);
 }
 
-/// A second of four times capacity, which the callers' patience can bear: nobody should be refused
-/// who could have been served.
+/// Four times capacity for one second, which the callers' deadlines allow for: no request that
+/// could have been served should be refused.
 #[test]
 fn burst_is_served_where_it_can_be() {
-    let (good, report) = burst_good(SEED, Engine::Policy);
-    let (baseline, _) = burst_good(SEED, Engine::FirstCome);
+    let (good, report) = burst_success_share(SEED, Engine::Policy);
+    let (baseline, _) = burst_success_share(SEED, Engine::FirstCome);
 
     assert!(good >= baseline - 0.02, "{good} against {baseline}");
-    assert_eq!(report.group("usual").untrue, 0);
+    assert_eq!(report.group("usual").false_not_run, 0);
 }
 
-/// Twenty thousand requests come and are cancelled together; others must not notice either.
+/// Twenty thousand requests arrive and are cancelled together; the other callers must not notice.
 #[test]
-fn wave_of_cancellations_hurts_nobody() {
+fn wave_of_cancellations_does_not_delay_others() {
     let (ratio, report) = cancelled_wave_ratio(SEED, Engine::Policy);
 
     assert!(ratio <= 1.5, "{ratio}");
@@ -112,7 +112,7 @@
 }
 
 /// Normal and batch work fill every slot three times over; urgent work still has to start within
-/// 2.4 s, and batch work must go on.
+/// 2.4 s, and batch work must not be starved.
 #[test]
 fn urgent_work_starts_in_time_and_batch_work_is_not_starved() {
     let (wait, report) = urgent_wait(SEED, Engine::Policy);
@@ -123,7 +123,7 @@
     assert!(batch.good as f64 >= 0.03 * rate(1.0) * 30.0, "{}", batch.good);
 }
 
-/// Two teams fill the slots; the one of three times the weight gets three times as much.
+/// Two teams fill the slots; the one with three times the weight gets three times as much.
 #[test]
 fn teams_share_by_weight() {
     let mut heavy = Stream::new("heavy", rate(2.0), MEAN_RUN);
@@ -137,9 +137,9 @@
     assert!((2.4..=3.6).contains(&ratio), "{ratio}");
 }
 
-/// Nine entries share the slots, evenly reached or not, and one is replaced. While views agree no
-/// target may be sent more than its slots, and a request must not wait for seconds at one entry
-/// while slots are idle at others.
+/// Nine entries share the slots, reached evenly or not. While views agree no target may be sent
+/// more requests than it has slots, and a request must not wait for seconds at one entry while
+/// slots are idle at others.
 #[test]
 fn shared_slots_are_never_exceeded_and_hardly_wait() {
     for (skew, seed) in [(0.0, 1), (0.7, 2), (0.7, 3)] {
@@ -148,18 +148,18 @@
 
         let report = run(&plan, Engine::Policy);
 
-        assert_eq!((report.most_in_flight, report.overcommitted), (8, 0), "skew {skew}");
+        assert_eq!((report.max_in_flight, report.overcommitted), (8, 0), "skew {skew}");
         let wait = report.group("all").wait(99.0);
         assert!(wait <= Duration::from_millis(200), "skew {skew}: {wait:?}");
         assert_eq!(report.group("all").refusals(), 0);
     }
 }
 
-/// An entry is replaced while slots are lent: the new view deals them anew. What still runs on
-/// lent slots may exceed a target's slots for a moment; the target refuses it, and it runs
-/// elsewhere without its caller noticing.
+/// An entry is replaced while slots are lent, and the new view allocates them again. Requests still
+/// running on lent slots may make new ones exceed a target's slots for a moment; the target refuses
+/// those, and they run elsewhere without their callers noticing.
 #[test]
-fn replaced_entry_costs_no_request() {
+fn replacing_an_entry_loses_no_request() {
     let mut stream = Stream::new("all", rate(0.6), MEAN_RUN);
     stream.retryable = false;
     let mut plan = Plan::new(SEED, vec![stream]);
@@ -174,7 +174,7 @@
     assert!(report.overcommitted <= 40, "{}", report.overcommitted);
 }
 
-/// At rest no messages are sent.
+/// At low load hardly any messages are sent.
 #[test]
 fn low_load_takes_hardly_any_messages() {
     let mut plan = Plan::new(SEED, vec![Stream::new("all", rate(0.1), MEAN_RUN)]);
@@ -187,12 +187,12 @@
 
 #[test]
 fn same_seed_gives_the_same_report() {
-    let play = || {
+    let simulate = || {
         let mut plan = Plan::new(SEED, vec![Stream::new("all", rate(0.8), MEAN_RUN)]);
         (plan.entries, plan.length) = (3, Duration::from_secs(10));
         let report = run(&plan, Engine::Policy);
-        (report.messages, report.tries, report.group("all").wait(99.0))
+        (report.messages, report.attempts, report.group("all").wait(99.0))
     };
 
-    assert_eq!(play(), play());
+    assert_eq!(simulate(), simulate());
 }
--- a/crates/borageswitch_policy/src/model/views.rs
+++ b/crates/borageswitch_policy/src/model/views.rs
@@ -1,4 +1,4 @@
-//! The views that a site's entries are given.
+//! The views that the entries of a simulated site are given.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,19 +9,19 @@
 };
 
 use super::plan::Plan;
-use crate::dealing;
+use crate::slot_allocation;
 
-/// The name of a target's host.
+/// Returns the name of the n-th target's host.
 pub(super) fn host(n: usize) -> HostName {
     HostName::from(format!("host-{n:03}"))
 }
 
-/// The name of the service.
+/// Returns the name of the service.
 pub(super) fn service() -> ServiceName {
     ServiceName::from("pricing")
 }
 
-/// The view of one entry.
+/// Returns the view of one entry.
 pub(super) fn view(plan: &Plan, me: &DaemonName, entries: &[DaemonName]) -> Arc<TrafficView> {
     let targets = (0..plan.targets).map(|n| (host(n), target(plan, n, me, entries))).collect();
     let limits = ServiceLimits::default();
@@ -59,7 +59,7 @@
         epoch: 1,
         state: TargetState::Open,
         slots: plan.slots,
-        dealt_slots: dealing::deal(plan.slots, &host, me, entries),
+        dealt_slots: slot_allocation::allocate(plan.slots, &host, me, entries),
         dealt_connections: 64,
         host,
     }
--- a/crates/borageswitch_policy/src/retry_budget.rs
+++ b/crates/borageswitch_policy/src/retry_budget.rs
@@ -1,53 +1,54 @@
-//! Bounds second tries to a share of successes.
+//! Limits retries to a share of the successes.
 //!
-//! The load pattern: an outage in which every try fails. Without a budget each request is tried
-//! three times, so the targets see three times the load at the moment at which they can bear the
-//! least, and they don't recover while it lasts.
+//! Load pattern: an outage in which every attempt fails. Without a budget each request is attempted
+//! three times, so the targets receive three times the load just when they can handle the least,
+//! and they don't recover while the outage lasts.
 //!
-//! Grounds for the figures: the share is the operator's (`retry_permille`, 100 by default: at most
-//! 10 % more load). A try that provably did not run costs the target next to nothing, so it is
-//! charged a tenth. The savings are bounded at [`MAX_SAVED`] tries, so that a long quiet hour does
-//! not pay for a storm.
+//! Reasons for the constants: the operator sets the share (`retry_permille`, 100 by default: at
+//! most 10 % more load). An attempt that provably did not run costs the target next to nothing, so
+//! its retry is charged a tenth. The balance is limited to [`MAX_BALANCE`] retries, so that a long
+//! quiet period does not pay for a retry storm.
 
 use borageswitch_types::error::Ran;
 
-/// What a second try costs after a try that may have run, in thousandths.
+/// The cost of a retry after an attempt that may have run, in thousandths.
 const FULL_COST: u32 = 1_000;
-/// What a second try costs after a try that provably did not run, in thousandths.
+/// The cost of a retry after an attempt that provably did not run, in thousandths.
 const NOT_RUN_COST: u32 = 100;
-/// The most tries that can be saved up.
-const MAX_SAVED: u32 = 20;
-/// The tries at hand at the start.
-const FIRST_SAVED: u32 = 5;
+/// The largest balance, in retries.
+const MAX_BALANCE: u32 = 20;
+/// The balance at the start, in retries.
+const INITIAL_BALANCE: u32 = 5;
 
-/// How often one request is started at most.
-pub const MAX_TRIES: u8 = 3;
+/// The largest number of attempts of one request.
+pub const MAX_ATTEMPTS: u8 = 3;
 
-/// The second tries at hand.
+/// The retries that may be spent now.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: u32,
+    balance: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: FIRST_SAVED * FULL_COST }
+        Self { balance: INITIAL_BALANCE * FULL_COST }
     }
 }
 
 impl RetryBudget {
-    /// Takes note of a success, which earns `permille` thousandths of a try.
-    pub fn success(&mut self, permille: u16) {
-        self.saved = (self.saved + u32::from(permille)).min(MAX_SAVED * FULL_COST);
+    /// Records a success, which adds `permille` thousandths of a retry.
+    pub fn record_success(&mut self, permille: u16) {
+        self.balance = (self.balance + u32::from(permille)).min(MAX_BALANCE * FULL_COST);
     }
 
-    /// Spends one second try after a try of which `ran` is known; false when none is at hand.
-    pub fn spend(&mut self, ran: Ran) -> bool {
+    /// Spends one retry after an attempt of which `ran` is known; returns false when the balance is
+    /// too low.
+    pub fn try_spend(&mut self, ran: Ran) -> bool {
         let cost = if ran == Ran::No { NOT_RUN_COST } else { FULL_COST };
-        if self.saved < cost {
+        if self.balance < cost {
             return false;
         }
-        self.saved -= cost;
+        self.balance -= cost;
         true
     }
 }
--- a/crates/borageswitch_policy/src/shedding/mod.rs
+++ b/crates/borageswitch_policy/src/shedding/mod.rs
@@ -1,18 +1,19 @@
-//! Refuses at once what would not end in time, and keeps a queue from standing.
+//! Refuses requests that would miss their deadlines, and prevents standing queues.
 //!
-//! The load pattern: three times as many requests come as can run. Without this module the queue
-//! fills until everything in it is too late: every slot is busy and nobody gets an answer in time.
-//! A request that cannot start early enough is refused when it comes, so that its caller can go
-//! elsewhere, with an estimate of when to come back. A refusal is never held back.
+//! Load pattern: three times as many requests arrive as can run. Without load shedding the queue
+//! fills until every request in it is too late: every slot is busy and no caller gets a response in
+//! time. A request that cannot start early enough is refused when it arrives, with an estimate of
+//! when to come back, so that its caller can go elsewhere. A refusal is never delayed.
 //!
-//! A queue may grow in a burst and must not stay: when every start of an interval has waited for
-//! more than its part of its deadline, the queue only adds delay, and newcomers are refused
-//! down to that part.
+//! A queue may grow in a burst but must not persist. When every request that started in an interval
+//! has waited for longer than a given part of its deadline, the queue only adds delay; new requests
+//! are then refused until the wait is down to that part.
 //!
-//! Grounds for the figures: a run is allowed its mean and two standard deviations, which an
-//! exponential run time exceeds in 5 % of cases. An eighth of the deadline as standing wait leaves
-//! callers most of their time; batch requests may wait for half. An interval of 250 ms lets a
-//! burst of some runs pass, and is short against any deadline for which somebody waits.
+//! Reasons for the constants: the upper estimate of a run time is the mean and two standard
+//! deviations, which an exponential run time exceeds in 5 % of cases. An eighth of the deadline as
+//! standing wait leaves callers most of their time; batch requests may wait for half. An interval
+//! of 250 ms lets a burst of some runs pass, and is short against any deadline for which somebody
+//! waits.
 
 use std::time::Duration;
 
@@ -23,34 +24,35 @@
     fair_queue::Backlog,
 };
 
-/// Over which time a queue must stand before it is cut.
+/// A queue that persists over this time counts as standing.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// The part of its time that a request may wait in a standing queue: one of this many.
-const STANDING_PART: u32 = 8;
-/// The same for batch requests.
-const STANDING_PART_BATCH: u32 = 2;
-/// A wait below this is never cut.
-const LEAST_STANDING_WAIT: Duration = Duration::from_millis(10);
-/// The longest wait that an urgent request is let into.
-pub const URGENT_START: Duration = Duration::from_millis(2_400);
-/// The earliest and the latest time for which a caller is told to come back.
-const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(30));
-/// Up to this many waiting requests a caller is never said to be over its share.
-const LEAST_CALLER_SHARE: usize = 16;
+/// In a standing queue a request may wait for its time limit divided by this.
+const STANDING_DIVISOR: u32 = 8;
+/// [`STANDING_DIVISOR`] of batch requests.
+const BATCH_STANDING_DIVISOR: u32 = 2;
+/// Shorter waits are never treated as standing.
+const MIN_STANDING_WAIT: Duration = Duration::from_millis(10);
+/// The longest expected wait with which an urgent request is admitted.
+pub const MAX_URGENT_WAIT: Duration = Duration::from_millis(2_400);
+/// The shortest and the longest time that is sent to a caller as retry time.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(30));
+/// A caller with at most this many waiting requests is never over its share.
+const MIN_CALLER_SHARE: usize = 16;
 
-/// What is known of the queue when a request comes.
+/// The queue's state when a request arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueState {
-    /// The slots that work on the queue.
+    /// The slots that serve the queue.
     pub slots: u32,
-    /// What the request would find ahead.
+    /// The work ahead of the request.
     pub backlog: Backlog,
-    /// Requests waiting in all.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// Waiting requests of the same caller.
+    /// The number of waiting requests of the same caller.
     pub caller_waiting: usize,
-    /// How long a request of this kind runs at most, bar few.
-    pub allowance: Duration,
+    /// The upper estimate of the run time of this kind of request.
+    pub upper_estimate: Duration,
 }
 
 impl QueueState {
@@ -59,16 +61,16 @@
     }
 }
 
-/// Why a request is refused, and when to come back.
+/// The reason for a refusal and the time after which to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: ErrorKind,
-    /// When the queue is expected to have room.
+    /// The time after which the queue is expected to have free capacity.
     pub retry_after: Duration,
 }
 
-/// Decides on newcomers.
+/// Admits or refuses arriving requests.
 #[derive(Debug, Default)]
 pub struct Shedder {
     interval_end: Time,
@@ -78,11 +80,11 @@
 }
 
 impl Shedder {
-    /// Decides whether a request may wait.
+    /// Decides whether a request may be queued.
     ///
     /// # Errors
     ///
-    /// Says why not, and when to come back.
+    /// Returns the reason for the refusal and the time after which to retry.
     pub fn admit(
         &self,
         now: Time,
@@ -91,30 +93,37 @@
         state: &QueueState,
     ) -> Result<(), Refusal> {
         let wait = state.wait();
-        let left = offer.deadline.since(now);
-        let whole = wait + state.allowance;
-        if state.waiting > 0 && whole > left {
-            return Err(refusal(ErrorKind::DeadlineUnreachable, whole - left));
+        let remaining = offer.deadline.since(now);
+        let total = wait + state.upper_estimate;
+        if state.waiting > 0 && total > remaining {
+            return Err(refusal(ErrorKind::DeadlineUnreachable, total - remaining));
         }
-        if offer.priority == Priority::Urgent && wait > URGENT_START {
-            return Err(refusal(ErrorKind::DeadlineUnreachable, wait - URGENT_START));
+        if offer.priority == Priority::Urgent && wait > MAX_URGENT_WAIT {
+            return Err(refusal(ErrorKind::DeadlineUnreachable, wait - MAX_URGENT_WAIT));
         }
-        self.check_room(limits, state, wait)?;
-        let bound = standing_bound(offer.priority, left);
+        self.check_queue_capacity(limits, state, wait)?;
+        let bound = standing_bound(offer.priority, remaining);
         if self.standing && wait > bound {
-            return Err(refusal(over_share(state), wait - bound));
+            return Err(refusal(shedding_reason(state), wait - bound));
         }
         Ok(())
     }
 
-    /// Takes note that a request started after `waited`, of the time `had` until its deadline.
-    pub fn started(&mut self, now: Time, priority: Priority, waited: Duration, had: Duration) {
+    /// Records the start of a request that `waited` out of the `time_limit` between its arrival and
+    /// its deadline.
+    pub fn record_wait(
+        &mut self,
+        now: Time,
+        priority: Priority,
+        waited: Duration,
+        time_limit: Duration,
+    ) {
         self.starts += 1;
-        self.late_starts += u32::from(waited > standing_bound(priority, had));
+        self.late_starts += u32::from(waited > standing_bound(priority, time_limit));
         self.tick(now);
     }
 
-    /// Judges the interval when it has ended.
+    /// Evaluates the interval when it has ended.
     pub fn tick(&mut self, now: Time) {
         if now < self.interval_end {
             return;
@@ -127,40 +136,43 @@
         self.late_starts = 0;
     }
 
-    /// A caller may fill the room that is left, no more: the first hot caller leaves half of the
-    /// queue free, whatever it sends, and a full queue still has room for a quiet caller.
-    fn check_room(
+    /// Limits a caller's waiting requests to the free part of the queue: the first hot caller
+    /// leaves half of the queue free, whatever it sends, and a queue that is nearly full still has
+    /// capacity for a quiet caller.
+    fn check_queue_capacity(
         &self,
         limits: &ServiceLimits,
         state: &QueueState,
         wait: Duration,
     ) -> Result<(), Refusal> {
-        let room = (limits.queue_len as usize).saturating_sub(state.waiting);
-        if room == 0 {
+        let free_capacity = (limits.queue_len as usize).saturating_sub(state.waiting);
+        if free_capacity == 0 {
             return Err(refusal(ErrorKind::QueueFull, wait));
         }
-        if state.caller_waiting >= room.max(LEAST_CALLER_SHARE) {
+        if state.caller_waiting >= free_capacity.max(MIN_CALLER_SHARE) {
             return Err(refusal(ErrorKind::CallerOverShare, wait));
         }
         Ok(())
     }
 }
 
-/// A caller that waits for its own requests more than for others' is over its share.
-fn over_share(state: &QueueState) -> ErrorKind {
-    let most_is_own = state.caller_waiting * 2 > state.waiting;
-    if most_is_own && state.caller_waiting > LEAST_CALLER_SHARE {
+/// Returns the reason for shedding: a caller is over its share when most of the waiting requests
+/// are its own.
+fn shedding_reason(state: &QueueState) -> ErrorKind {
+    let mostly_own = state.caller_waiting * 2 > state.waiting;
+    if mostly_own && state.caller_waiting > MIN_CALLER_SHARE {
         ErrorKind::CallerOverShare
     } else {
         ErrorKind::QueueFull
     }
 }
 
-fn standing_bound(priority: Priority, left: Duration) -> Duration {
-    let part = if priority == Priority::Batch { STANDING_PART_BATCH } else { STANDING_PART };
-    (left / part).max(LEAST_STANDING_WAIT)
+fn standing_bound(priority: Priority, remaining: Duration) -> Duration {
+    let divisor =
+        if priority == Priority::Batch { BATCH_STANDING_DIVISOR } else { STANDING_DIVISOR };
+    (remaining / divisor).max(MIN_STANDING_WAIT)
 }
 
-fn refusal(kind: ErrorKind, over: Duration) -> Refusal {
-    Refusal { kind, retry_after: over.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1) }
+fn refusal(kind: ErrorKind, excess: Duration) -> Refusal {
+    Refusal { kind, retry_after: excess.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1) }
 }
--- a/crates/borageswitch_policy/src/targets/target.rs
+++ b/crates/borageswitch_policy/src/targets/target.rs
@@ -1,5 +1,4 @@
-//! One target's state at this entry: how many of its slots may be used now, and in which order free
-//! targets come.
+//! One target's state at this entry: its usable slots and its rank among targets with free slots.
 
 use std::{cmp::Ordering, net::SocketAddr};
 
@@ -10,17 +9,17 @@
 
 use super::health::Health;
 
-/// A target, kept until it has left the view and nothing is in flight on it.
+/// A target, kept until it has left the view and has no requests in flight.
 #[derive(Debug)]
 pub(super) struct Target {
     pub(super) address: SocketAddr,
     pub(super) epoch: u64,
     pub(super) state: TargetState,
-    /// False once the target is no longer in the view; it is forgotten when nothing is in flight.
+    /// False once the target has left the view; it is dropped when nothing is in flight.
     pub(super) listed: bool,
     pub(super) slots: u16,
-    pub(super) dealt: u16,
-    /// Of `dealt`, what may be used while the target warms up.
+    pub(super) allocated: u16,
+    /// The part of `allocated` that may be used while the target warms up.
     pub(super) open: u16,
     pub(super) warming_since: Option<Time>,
     pub(super) lent: u16,
@@ -33,15 +32,15 @@
 }
 
 impl Target {
-    pub(super) fn new(now: Time, seen: &TargetView) -> Self {
+    pub(super) fn new(now: Time, view: &TargetView) -> Self {
         let mut target = Self {
-            address: seen.address,
-            epoch: seen.epoch,
-            state: seen.state,
+            address: view.address,
+            epoch: view.epoch,
+            state: view.state,
             listed: true,
-            slots: seen.slots,
-            dealt: seen.dealt_slots,
-            open: seen.dealt_slots,
+            slots: view.slots,
+            allocated: view.dealt_slots,
+            open: view.dealt_slots,
             warming_since: None,
             lent: 0,
             borrowed: 0,
@@ -51,13 +50,13 @@
             health: Health::default(),
             slowness: 1.0,
         };
-        target.update(now, seen);
+        target.update(now, view);
         target
     }
 
-    pub(super) fn update(&mut self, now: Time, seen: &TargetView) {
-        if self.epoch != seen.epoch {
-            // What is known belongs to the host's last assignment, and every loan of it is void.
+    pub(super) fn update(&mut self, now: Time, view: &TargetView) {
+        if self.epoch != view.epoch {
+            // The statistics belong to the host's last assignment, and every loan of it is void.
             (self.lent, self.borrowed) = (0, 0);
             let in_flight = self.in_flight;
             if in_flight == 0 {
@@ -65,25 +64,25 @@
             }
             self.warming_since = None;
         }
-        self.warming_since = match seen.state {
+        self.warming_since = match view.state {
             TargetState::Warming => Some(self.warming_since.unwrap_or(now)),
             TargetState::Open | TargetState::Leaving => None,
         };
-        self.address = seen.address;
-        self.epoch = seen.epoch;
-        self.state = seen.state;
+        self.address = view.address;
+        self.epoch = view.epoch;
+        self.state = view.state;
         self.listed = true;
-        self.slots = seen.slots;
-        self.dealt = seen.dealt_slots;
+        self.slots = view.slots;
+        self.allocated = view.dealt_slots;
     }
 
-    pub(super) fn takes_new(&self) -> bool {
+    pub(super) fn accepts_requests(&self) -> bool {
         self.listed && self.state != TargetState::Leaving
     }
 
-    /// How many requests this entry may have in flight on the target.
+    /// Returns how many requests this entry may have in flight on the target.
     pub(super) fn usable(&self) -> u32 {
-        if !self.takes_new() {
+        if !self.accepts_requests() {
             return 0;
         }
         u32::from(self.open.saturating_sub(self.lent) + self.borrowed)
@@ -93,7 +92,7 @@
         self.usable().saturating_sub(self.in_flight)
     }
 
-    /// Orders by cost; among equals the one that has waited longest for a request comes first.
+    /// Orders by cost; among equal targets the least recently used one comes first.
     pub(super) fn compare(&self, other: &Target) -> Ordering {
         self.cost().total_cmp(&other.cost()).then(self.last_start.cmp(&other.last_start))
     }
