--- a/benches/src/waves.rs
+++ b/benches/src/waves.rs
@@ -13,7 +13,7 @@
     baselines::Baseline,
     capacity, changes, explain,
     model::{
-        Measures, Region, Way,
+        Measures, Region, RolloutStrategy,
         sites::{self, SiteShape},
     },
     steps,
@@ -54,18 +54,23 @@
     })
 }
 
-fn ways() -> Vec<(&'static str, Way, usize, usize)> {
-    let share = |percent| Way::Baseline(Baseline::FixedShare { percent });
+fn ways() -> Vec<(&'static str, RolloutStrategy, usize, usize)> {
+    let share = |percent| RolloutStrategy::Baseline(Baseline::FixedShare { percent });
     vec![
-        ("one at a time, 1 in reserve a pool", Way::Baseline(Baseline::OneAtATime), 1, 0),
+        (
+            "one at a time, 1 in reserve a pool",
+            RolloutStrategy::Baseline(Baseline::OneAtATime),
+            1,
+            0,
+        ),
         ("fixed share 12 %, 1 in reserve a pool", share(12), 1, 0),
         ("fixed share 20 %, 2 in reserve a pool", share(20), 2, 0),
-        ("planner, 2 spare hosts", Way::Planner, 0, 2),
-        ("planner, 3 spare hosts", Way::Planner, 0, 3),
-        ("planner, 4 spare hosts", Way::Planner, 0, 4),
-        ("planner, 5 spare hosts", Way::Planner, 0, 5),
-        ("planner, 8 spare hosts", Way::Planner, 0, 8),
-        ("planner, 2 in reserve a pool", Way::Planner, 2, 0),
+        ("planner, 2 spare hosts", RolloutStrategy::Planner, 0, 2),
+        ("planner, 3 spare hosts", RolloutStrategy::Planner, 0, 3),
+        ("planner, 4 spare hosts", RolloutStrategy::Planner, 0, 4),
+        ("planner, 5 spare hosts", RolloutStrategy::Planner, 0, 5),
+        ("planner, 8 spare hosts", RolloutStrategy::Planner, 0, 8),
+        ("planner, 2 in reserve a pool", RolloutStrategy::Planner, 2, 0),
     ]
 }
 
@@ -105,7 +110,13 @@
     })
 }
 
-fn one_wave(shape: &SiteShape, way: Way, seed: u64, settings: &WaveSettings, broken: usize) -> Run {
+fn one_wave(
+    shape: &SiteShape,
+    way: RolloutStrategy,
+    seed: u64,
+    settings: &WaveSettings,
+    broken: usize,
+) -> Run {
     let wave = WaveName::from("spring");
     let mut region = Region::new(shape.fleet(), way, seed);
     // Spread over the fleet by a step that shares no factor with its size.
@@ -126,11 +137,11 @@
     };
     let buffer: fn(&Measures) -> u64 = |m| m.buffer_host_seconds;
     let time: fn(&Measures) -> u64 = |m| m.roll_out_seconds;
-    let share = Way::Baseline(Baseline::FixedShare { percent: 20 });
-    let single = Way::Baseline(Baseline::OneAtATime);
-    let lean = total(sites::spotless_ridge(0, 4), Way::Planner, spotless, buffer);
+    let share = RolloutStrategy::Baseline(Baseline::FixedShare { percent: 20 });
+    let single = RolloutStrategy::Baseline(Baseline::OneAtATime);
+    let lean = total(sites::spotless_ridge(0, 4), RolloutStrategy::Planner, spotless, buffer);
     let reserve = total(sites::spotless_ridge(2, 0), share, spotless, buffer);
-    let fast = total(sites::association(0, 5), Way::Planner, association, time);
+    let fast = total(sites::association(0, 5), RolloutStrategy::Planner, association, time);
     let slow = total(sites::association(1, 0), single, association, time);
     json!([
         {
@@ -152,8 +163,9 @@
     let row = |(buffer_cost, roll_out_time, moves)| {
         let settings = sites::wave_settings(sites::weights(buffer_cost, roll_out_time, moves));
         let shape = sites::association(1, 4);
-        let runs: Vec<_> =
-            (0..SEEDS).map(|seed| one_wave(&shape, Way::Planner, seed, &settings, 0)).collect();
+        let runs: Vec<_> = (0..SEEDS)
+            .map(|seed| one_wave(&shape, RolloutStrategy::Planner, seed, &settings, 0))
+            .collect();
         let name = format!("buffer {buffer_cost}, time {roll_out_time}, moves {moves}");
         row_of(&name, &shape, &runs)
     };
@@ -164,7 +176,7 @@
 fn planning(hosts: usize, pools: usize) -> Value {
     let wave = WaveName::from("spring");
     let shape = sites::region_of(hosts, pools);
-    let mut region = Region::new(shape.fleet(), Way::Planner, 1);
+    let mut region = Region::new(shape.fleet(), RolloutStrategy::Planner, 1);
     let settings = WaveSettings { max_batch: 64, ..sites::wave_settings(sites::weights(1, 1, 1)) };
     region.start_wave(&wave, settings);
     let mut plans = Vec::new();
--- a/crates/borageswitch_planner/src/capacity/ledger.rs
+++ b/crates/borageswitch_planner/src/capacity/ledger.rs
@@ -1,4 +1,4 @@
-//! The capacity of every pool, kept up to date while a plan takes hosts out.
+//! The capacity of every pool, updated as a plan takes hosts out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,9 +12,10 @@
 
 type Domain<'a> = (&'a str, &'a str);
 
-/// The slots of one pool by each kind of failure domain that one of its services must survive.
+/// The slots of one pool, grouped by each kind of failure domain that one of its services must
+/// survive.
 #[derive(Debug, Default)]
-struct PoolTally<'a> {
+struct PoolTotals<'a> {
     promised: u32,
     services: Vec<(&'a ServiceName, FailureDomain)>,
     kinds: Vec<(FailureDomain, BTreeMap<Domain<'a>, u32>)>,
@@ -22,7 +23,7 @@
     slots: u32,
 }
 
-impl<'a> PoolTally<'a> {
+impl<'a> PoolTotals<'a> {
     fn add_service(&mut self, name: &'a ServiceName, survives: FailureDomain, promised: u32) {
         self.promised += promised;
         self.services.push((name, survives));
@@ -31,7 +32,7 @@
         }
     }
 
-    fn put(&mut self, name: &'a HostName, host: &'a Host) {
+    fn add_host(&mut self, name: &'a HostName, host: &'a Host) {
         if !self.counted.insert(name) {
             return;
         }
@@ -42,7 +43,7 @@
         }
     }
 
-    fn take(&mut self, name: &'a HostName, host: &'a Host) {
+    fn remove_host(&mut self, name: &'a HostName, host: &'a Host) {
         if !self.counted.remove(name) {
             return;
         }
@@ -53,27 +54,28 @@
         }
     }
 
-    /// The slots left after the loss of the largest domain of a kind, without `gone` as well.
-    fn surviving(&self, survives: FailureDomain, gone: Option<(&'a HostName, &'a Host)>) -> u32 {
-        let gone = gone.filter(|(name, _)| self.counted.contains(name));
-        let lost = gone.map_or(0, |(_, host)| u32::from(host.spec.slots));
-        let all = self.slots - lost;
+    /// Slots that remain after the loss of the largest failure domain of a kind, with `removed`
+    /// taken out as well.
+    fn surviving(&self, survives: FailureDomain, removed: Option<(&'a HostName, &'a Host)>) -> u32 {
+        let removed = removed.filter(|(name, _)| self.counted.contains(name));
+        let lost = removed.map_or(0, |(_, host)| u32::from(host.spec.slots));
+        let total = self.slots - lost;
         if survives == FailureDomain::None {
-            return all;
+            return total;
         }
         let Some((_, domains)) = self.kinds.iter().find(|(kind, _)| *kind == survives) else {
-            return all;
+            return total;
         };
-        let hit = gone.map(|(name, host)| domain_of(name, host, survives));
+        let removed_domain = removed.map(|(name, host)| domain_of(name, host, survives));
         let slots_of = |(domain, slots): (&Domain<'a>, &u32)| {
-            if hit == Some(*domain) { slots - lost } else { *slots }
+            if removed_domain == Some(*domain) { slots - lost } else { *slots }
         };
-        all - domains.iter().map(slots_of).max().unwrap_or(0)
+        total - domains.iter().map(slots_of).max().unwrap_or(0)
     }
 
-    fn check(&self, gone: Option<(&'a HostName, &'a Host)>) -> Result<(), Refusal> {
+    fn check(&self, removed: Option<(&'a HostName, &'a Host)>) -> Result<(), Refusal> {
         for (service, survives) in &self.services {
-            let left = self.surviving(*survives, gone);
+            let left = self.surviving(*survives, removed);
             if left < self.promised {
                 let service = ServiceName::clone(service);
                 return Err(Refusal::BudgetBroken { service, left, promised: self.promised });
@@ -82,16 +84,16 @@
         Ok(())
     }
 
-    /// The slots in the domain of a host, by the widest kind that a service must survive.
+    /// Slots in the failure domain of a host, for the widest kind that a service must survive.
     fn domain_slots(&self, name: &'a HostName, host: &'a Host) -> u32 {
-        let widest = self.kinds.iter().max_by_key(|(kind, _)| width(*kind));
+        let widest = self.kinds.iter().max_by_key(|(kind, _)| domain_width(*kind));
         widest.map_or(0, |(kind, domains)| {
             domains.get(&domain_of(name, host, *kind)).copied().unwrap_or(0)
         })
     }
 }
 
-fn width(kind: FailureDomain) -> u8 {
+fn domain_width(kind: FailureDomain) -> u8 {
     match kind {
         FailureDomain::None => 0,
         FailureDomain::Host => 1,
@@ -100,105 +102,108 @@
     }
 }
 
-/// The capacity of every pool, with hosts that a plan has taken out left out.
+/// The capacity of every pool without the hosts that a plan has taken out.
 #[derive(Debug)]
 pub struct Ledger<'a> {
-    pools: BTreeMap<&'a PoolName, PoolTally<'a>>,
+    pools: BTreeMap<&'a PoolName, PoolTotals<'a>>,
 }
 
 impl<'a> Ledger<'a> {
-    /// Counts the hosts that give capacity and for which `usable` holds.
+    /// Counts the hosts that provide capacity and for which `usable` holds.
     pub fn new<F>(fleet: &'a Fleet, usable: F) -> Self
     where
         F: Fn(&HostName) -> bool,
     {
-        let mut pools: BTreeMap<&PoolName, PoolTally<'a>> =
-            fleet.pools.keys().map(|pool| (pool, PoolTally::default())).collect();
+        let mut pools: BTreeMap<&PoolName, PoolTotals<'a>> =
+            fleet.pools.keys().map(|pool| (pool, PoolTotals::default())).collect();
         for (name, service) in &fleet.services {
-            let tally = pools.entry(&service.pool).or_default();
-            tally.add_service(name, service.survives, service.promised_slots);
+            let totals = pools.entry(&service.pool).or_default();
+            totals.add_service(name, service.survives, service.promised_slots);
         }
         for (name, host) in &fleet.hosts {
             if host.gives_capacity() && usable(name) {
-                pools.entry(&host.pool).or_default().put(name, host);
+                pools.entry(&host.pool).or_default().add_host(name, host);
             }
         }
         Self { pools }
     }
 
-    /// Checks that the host's pool would keep its promises without the host.
+    /// Checks that the host's pool would meet its budgets without the host.
     ///
     /// # Errors
     ///
-    /// [`Refusal::BudgetBroken`] names the first service that would not.
+    /// [`Refusal::BudgetBroken`] with the first service that would miss its budget.
     pub fn check_without(&self, name: &'a HostName, host: &'a Host) -> Result<(), Refusal> {
-        self.pools.get(&host.pool).map_or(Ok(()), |tally| tally.check(Some((name, host))))
+        self.pools.get(&host.pool).map_or(Ok(()), |totals| totals.check(Some((name, host))))
     }
 
-    /// Checks that a pool keeps its promises as it stands.
+    /// Checks that a pool meets its budgets with the hosts that are counted now.
     ///
     /// # Errors
     ///
-    /// [`Refusal::BudgetBroken`] names the first service that does not.
+    /// [`Refusal::BudgetBroken`] with the first service that misses its budget.
     pub fn check_pool(&self, pool: &PoolName) -> Result<(), Refusal> {
-        self.pools.get(pool).map_or(Ok(()), |tally| tally.check(None))
+        self.pools.get(pool).map_or(Ok(()), |totals| totals.check(None))
     }
 
-    /// Leaves a host out from now on.
-    pub fn take(&mut self, name: &'a HostName, host: &'a Host) {
-        if let Some(tally) = self.pools.get_mut(&host.pool) {
-            tally.take(name, host);
+    /// Stops counting a host.
+    pub fn remove_host(&mut self, name: &'a HostName, host: &'a Host) {
+        if let Some(totals) = self.pools.get_mut(&host.pool) {
+            totals.remove_host(name, host);
         }
     }
 
-    /// Counts a host in again after [`Self::take`].
-    pub fn put_back(&mut self, name: &'a HostName, host: &'a Host) {
-        if let Some(tally) = self.pools.get_mut(&host.pool) {
-            tally.put(name, host);
+    /// Counts a host again after [`Self::remove_host`].
+    pub fn restore_host(&mut self, name: &'a HostName, host: &'a Host) {
+        if let Some(totals) = self.pools.get_mut(&host.pool) {
+            totals.add_host(name, host);
         }
     }
 
-    /// Whether a host counts.
-    pub fn counts(&self, name: &HostName, host: &Host) -> bool {
-        self.pools.get(&host.pool).is_some_and(|tally| tally.counted.contains(name))
+    /// Whether a host is counted.
+    pub fn is_counted(&self, name: &HostName, host: &Host) -> bool {
+        self.pools.get(&host.pool).is_some_and(|totals| totals.counted.contains(name))
     }
 
-    /// How many slots fail together with a host, in the pool `pool`.
+    /// Returns how many slots of `pool` are in the failure domain of a host.
     pub fn domain_slots(&self, pool: &PoolName, name: &'a HostName, host: &'a Host) -> u32 {
-        self.pools.get(pool).map_or(0, |tally| tally.domain_slots(name, host))
+        self.pools.get(pool).map_or(0, |totals| totals.domain_slots(name, host))
     }
 
-    /// The hosts of `candidates` that could leave one after another without a broken promise.
+    /// Returns the hosts of `candidates` that could leave one after another without violating a
+    /// budget.
     ///
-    /// Each time one of the largest failure domain goes: what must survive is everything but the
-    /// largest domain, so the first hosts out of it cost nothing, and no other order lets more go.
+    /// Greedy: always removes a host of the largest failure domain. A budget must survive the loss
+    /// of the largest domain, so hosts beyond the size of the next largest one cost nothing, and no
+    /// other order removes more hosts.
     pub fn removable(
         &mut self,
         candidates: &[(&'a HostName, &'a Host)],
     ) -> Vec<(&'a HostName, &'a Host)> {
-        let mut left = candidates.to_vec();
-        let mut gone = Vec::new();
-        while let Some(at) = self.next_out(&left) {
-            let (name, host) = left.swap_remove(at);
-            self.take(name, host);
-            gone.push((name, host));
+        let mut remaining = candidates.to_vec();
+        let mut removed = Vec::new();
+        while let Some(index) = self.next_removable(&remaining) {
+            let (name, host) = remaining.swap_remove(index);
+            self.remove_host(name, host);
+            removed.push((name, host));
         }
-        for (name, host) in &gone {
-            self.put_back(name, host);
+        for (name, host) in &removed {
+            self.restore_host(name, host);
         }
-        gone
+        removed
     }
 
-    /// Which of `candidates`, all of one pool, should go out next, if one may.
-    pub fn next_out(&self, candidates: &[(&'a HostName, &'a Host)]) -> Option<usize> {
-        let may_go = candidates.iter().enumerate().filter(|(_, (name, host))| {
-            self.counts(name, host) && self.check_without(name, host).is_ok()
+    /// Returns the index of the host in `candidates`, all of one pool, that should leave next, if
+    /// any may.
+    pub fn next_removable(&self, candidates: &[(&'a HostName, &'a Host)]) -> Option<usize> {
+        let eligible = candidates.iter().enumerate().filter(|(_, (name, host))| {
+            self.is_counted(name, host) && self.check_without(name, host).is_ok()
         });
-        may_go
+        eligible
             .max_by_key(|(_, (name, host))| {
                 let slots = self.domain_slots(&host.pool, name, host);
                 (slots, std::cmp::Reverse(*name))
             })
-            .map(|(at, _)| at)
+            .map(|(index, _)| index)
     }
 }
--- a/crates/borageswitch_planner/src/capacity/mod.rs
+++ b/crates/borageswitch_planner/src/capacity/mod.rs
@@ -1,7 +1,7 @@
-//! What a pool can carry after the loss of its largest failure domain.
+//! Pool capacity after the loss of the largest failure domain.
 //!
-//! The functions here judge one pool by the document alone, as a change must. [`Ledger`] keeps the
-//! same tallies for all pools at once, so that a planning step over a large fleet counts each host
+//! The functions here check one pool against the document, as a single change needs. [`Ledger`]
+//! maintains the same totals for all pools, so that planning a large fleet counts each host only
 //! once.
 
 mod ledger;
@@ -19,9 +19,9 @@
 
 pub use self::ledger::Ledger;
 
-/// The slots of `pool` that are left after the loss of its largest failure domain.
+/// Returns the slots of `pool` that remain after the loss of its largest failure domain.
 ///
-/// `usable` decides which hosts count; a caller that asks "what if" leaves out some more.
+/// Only hosts for which `usable` holds are counted.
 pub fn surviving_slots<F>(fleet: &Fleet, pool: &PoolName, survives: FailureDomain, usable: F) -> u32
 where
     F: Fn(&HostName, &Host) -> bool,
@@ -30,14 +30,14 @@
     for (name, host) in fleet.hosts_in(pool).filter(|(name, host)| usable(name, host)) {
         *domains.entry(domain_of(name, host, survives)).or_default() += u32::from(host.spec.slots);
     }
-    let all: u32 = domains.values().sum();
+    let total: u32 = domains.values().sum();
     match survives {
-        FailureDomain::None => all,
-        _ => all - domains.values().max().copied().unwrap_or(0),
+        FailureDomain::None => total,
+        _ => total - domains.values().max().copied().unwrap_or(0),
     }
 }
 
-/// What fails together with a host.
+/// The failure domain of a host.
 pub(crate) fn domain_of<'a>(
     name: &'a HostName,
     host: &'a Host,
@@ -51,23 +51,25 @@
     }
 }
 
-/// Checks that every service of `pool` keeps its promised slots when `without` are gone.
+/// Checks that every service of `pool` keeps its promised slots without the hosts in `without`.
 ///
 /// # Errors
 ///
-/// [`Refusal::BudgetBroken`] names the first service that would not.
+/// [`Refusal::BudgetBroken`] with the first service that would not.
 pub fn check_budgets(fleet: &Fleet, pool: &PoolName, without: &[&HostName]) -> Result<(), Refusal> {
-    check_counting(fleet, pool, |host, record| record.gives_capacity() && !without.contains(&host))
+    check_usable_hosts(fleet, pool, |host, record| {
+        record.gives_capacity() && !without.contains(&host)
+    })
 }
 
-/// Checks that the pool could keep its services' promises with every host that belongs to it,
-/// those out for a wave included.
+/// Checks that the pool meets its services' budgets with all hosts that belong to it, including
+/// those that are out for a wave.
 ///
 /// # Errors
 ///
-/// [`Refusal::BudgetBroken`] names the first service whose promise could not be kept.
+/// [`Refusal::BudgetBroken`] with the first service whose budget cannot be met.
 pub fn check_installed(fleet: &Fleet, pool: &PoolName) -> Result<(), Refusal> {
-    check_counting(fleet, pool, |_, host| {
+    check_usable_hosts(fleet, pool, |_, host| {
         matches!(
             host.phase,
             HostPhase::Serving
@@ -78,7 +80,7 @@
     })
 }
 
-fn check_counting<F>(fleet: &Fleet, pool: &PoolName, usable: F) -> Result<(), Refusal>
+fn check_usable_hosts<F>(fleet: &Fleet, pool: &PoolName, usable: F) -> Result<(), Refusal>
 where
     F: Fn(&HostName, &Host) -> bool,
 {
--- a/crates/borageswitch_planner/src/capacity/tests.rs
+++ b/crates/borageswitch_planner/src/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! What a pool can let go.
+//! Tests which hosts a pool can spare.
 
 use borageswitch_types::{
     Fleet,
@@ -12,17 +12,17 @@
     model::sites,
 };
 
-/// One pool whose hosts stand in racks of the given sizes.
+/// A single pool with hosts in racks of the given sizes.
 fn pool_in_racks(racks: &[u8], promised: u32, survives: FailureDomain) -> (Fleet, PoolName) {
     let mut fleet = sites::spotless_ridge(2, 0).fleet();
     let pool = PoolName::from("payroll");
     let spec = fleet.hosts["h0000"].spec.clone();
     fleet.hosts.clear();
     for (rack, hosts) in racks.iter().enumerate() {
-        for at in 0..*hosts {
+        for index in 0..*hosts {
             let mut spec = spec.clone();
             spec.rack = RackName::from(format!("r{rack}"));
-            let name = HostName::from(format!("h{rack}-{at}"));
+            let name = HostName::from(format!("h{rack}-{index}"));
             fleet.hosts.insert(name, Host::serving(spec, pool.clone()));
         }
     }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hosts_of_the_largest_rack_go_for_nothing_until_it_is_level() {
+fn hosts_of_the_largest_rack_are_removable_down_to_the_next_size() {
     let (fleet, pool) = pool_in_racks(&[4, 2, 2], 32, FailureDomain::Rack);
 
     assert_eq!(capacity::surviving_slots(&fleet, &pool, FailureDomain::Rack, |_, _| true), 32);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_wider_the_domain_the_less_can_go() {
+fn a_wider_failure_domain_leaves_fewer_removable_hosts() {
     let left = |survives| {
         let (fleet, pool) = pool_in_racks(&[3, 3, 3], 32, survives);
         removable(&fleet, &pool)
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_broken_promise_names_its_service() {
+fn a_violated_budget_names_its_service() {
     let (fleet, pool) = pool_in_racks(&[1, 1], 16, FailureDomain::Rack);
 
     let refusal = capacity::check_budgets(&fleet, &pool, &[]).unwrap_err();
@@ -69,13 +69,15 @@
     assert_eq!(Ledger::new(&fleet, |_| true).check_pool(&pool), Err(refusal));
 }
 
-/// The most hosts that can go, by trying every subset.
-fn most_by_trying_all(fleet: &Fleet, pool: &PoolName) -> usize {
+/// The maximum number of hosts that can leave, by trying every subset.
+fn max_removable_brute_force(fleet: &Fleet, pool: &PoolName) -> usize {
     let hosts: Vec<_> = fleet.hosts_in(pool).map(|(name, _)| name).collect();
     (0..1_u32 << hosts.len())
         .filter(|subset| {
-            let gone: Vec<_> =
-                (0..hosts.len()).filter(|at| subset >> at & 1 == 1).map(|at| hosts[at]).collect();
+            let gone: Vec<_> = (0..hosts.len())
+                .filter(|index| subset >> index & 1 == 1)
+                .map(|index| hosts[index])
+                .collect();
             capacity::check_budgets(fleet, pool, &gone).is_ok()
         })
         .map(|subset| subset.count_ones() as usize)
@@ -92,10 +94,10 @@
     })]
 
     #[test]
-    fn no_other_choice_lets_more_hosts_go(racks in vec(1..4u8, 1..5), promised in 0..10u32) {
+    fn no_other_choice_removes_more_hosts(racks in vec(1..4u8, 1..5), promised in 0..10u32) {
         let (fleet, pool) = pool_in_racks(&racks, promised * 8, FailureDomain::Rack);
 
-        prop_assert_eq!(removable(&fleet, &pool), most_by_trying_all(&fleet, &pool));
+        prop_assert_eq!(removable(&fleet, &pool), max_removable_brute_force(&fleet, &pool));
     }
 
     #[test]
--- a/crates/borageswitch_planner/src/changes/hosts.rs
+++ b/crates/borageswitch_planner/src/changes/hosts.rs
@@ -1,4 +1,4 @@
-//! Carries a host from phase to phase.
+//! Changes that move a host between the phases of its lifecycle.
 
 use borageswitch_types::{
     Fleet,
@@ -28,7 +28,7 @@
             set_phase(find_host(fleet, name)?, leaving);
             Ok(())
         }
-        // A host that does nothing can change pool at once: no request of the old pool is on it.
+        // An idle host can change pool at once, because it has no requests of the old pool.
         HostPhase::Held { .. } | HostPhase::Failed { .. } | HostPhase::Parked => {
             host.pool = to.clone();
             host.epoch += 1;
@@ -39,13 +39,13 @@
         | HostPhase::Trial { .. }
         | HostPhase::Starting { .. } => Err(wrong_state(
             "host",
-            format!("'{name}' is {}; try again once it serves", doing(host)),
+            format!("'{name}' is {}; try again once it serves", describe_phase(host)),
         )),
     }
 }
 
-/// What a host does, for people.
-pub(crate) fn doing(host: &Host) -> &'static str {
+/// A description of the host's phase for messages.
+pub(crate) fn describe_phase(host: &Host) -> &'static str {
     match host.phase {
         HostPhase::Serving => "serving",
         HostPhase::Leaving { why: LeaveReason::Move { .. } } => "leaving for another pool",
@@ -63,8 +63,9 @@
 
 /// Takes a host out of use.
 ///
-/// An operator may not break a promise by it. The planner holds a host that the platform is about
-/// to take away: the capacity goes either way, and a hold saves the requests in flight.
+/// An operator's hold must not violate a budget. The planner may hold a host that the platform is
+/// about to take away even then: the capacity is lost in any case, and a hold lets requests in
+/// flight finish.
 pub(super) fn hold(
     fleet: &mut Fleet,
     name: &HostName,
@@ -86,7 +87,7 @@
             return Ok(());
         }
         HostPhase::Held { .. } | HostPhase::Rebooting { .. } | HostPhase::Starting { .. } => {
-            return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+            return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
         }
     }
     skip_in_waves(fleet, name, "an operator holds it");
@@ -95,10 +96,10 @@
     Ok(())
 }
 
-/// Lets a host serve again.
+/// Returns a host to service.
 ///
-/// One that failed while it booted may still be at it, and one that is off cannot serve: these are
-/// switched off for certain and started again as soon as the power cap leaves their watts.
+/// A host that failed while it booted may still be booting, and a host that is off cannot serve.
+/// Such hosts are switched off first and started as soon as their power fits under the cap.
 pub(super) fn release(
     fleet: &mut Fleet,
     name: &HostName,
@@ -111,7 +112,7 @@
             let next = match host.power {
                 HostPower::Off | HostPower::SwitchingOff { .. } => HostPhase::Parked,
                 HostPower::Surging => {
-                    begin_off(host, operation);
+                    begin_switch_off(host, operation);
                     HostPhase::Parked
                 }
                 HostPower::Full
@@ -128,15 +129,15 @@
             Ok(())
         }
         _ => {
-            let state = doing(host);
+            let state = describe_phase(host);
             let why = format!("'{name}' is {state}, neither held, failed nor leaving");
             Err(wrong_state("host", why))
         }
     }
 }
 
-/// Has a host switched off; until the agent confirms, it counts as before.
-pub(super) fn begin_off(host: &mut Host, operation: &OperationId) {
+/// Begins to switch a host off. Its power stays reserved until the agent confirms.
+pub(super) fn begin_switch_off(host: &mut Host, operation: &OperationId) {
     let reserved = host.reserved_power();
     host.power = HostPower::SwitchingOff { operation: operation.clone(), reserved };
 }
@@ -158,11 +159,12 @@
         }
         LeaveReason::Hold { reason } => set_phase(host, HostPhase::Held { reason }),
         LeaveReason::Power => {
-            begin_off(host, operation);
+            begin_switch_off(host, operation);
             set_phase(host, HostPhase::Parked);
         }
         LeaveReason::Wave { wave } => {
-            // A reboot forgets the throttle, so the host counts in full from here on.
+            // The throttle does not survive a reboot, so the host's full power is reserved from
+            // here on.
             host.power = HostPower::Full;
             set_phase(host, HostPhase::Rebooting { wave, operation: operation.clone(), not_after });
         }
@@ -173,27 +175,27 @@
 pub(super) fn renew_reboot(
     fleet: &mut Fleet,
     name: &HostName,
-    until: UnixMillis,
-    renewed: &OperationId,
+    new_not_after: UnixMillis,
+    new_operation: &OperationId,
 ) -> Result<(), Refusal> {
     let host = find_host(fleet, name)?;
     let (HostPhase::Rebooting { operation, not_after, .. }
     | HostPhase::Starting { operation, not_after }) = &mut host.phase
     else {
-        return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+        return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     };
-    if until <= *not_after {
+    if new_not_after <= *not_after {
         return Err(wrong_state("not_after", "the running command is valid for longer".to_owned()));
     }
-    *operation = renewed.clone();
-    *not_after = until;
+    *operation = new_operation.clone();
+    *not_after = new_not_after;
     Ok(())
 }
 
-pub(super) fn back(
+pub(super) fn host_back(
     fleet: &mut Fleet,
     name: &HostName,
-    answered: &OperationId,
+    reported: &OperationId,
 ) -> Result<(), Refusal> {
     let host = find_host(fleet, name)?;
     let (operation, next) = match host.phase.clone() {
@@ -201,7 +203,7 @@
         HostPhase::Starting { operation, .. } => (operation, HostPhase::Serving),
         _ => return Err(wrong_state("host", format!("'{name}' is not rebooting"))),
     };
-    if operation != *answered {
+    if operation != *reported {
         return Err(wrong_state("operation", "another reboot was asked for since".to_owned()));
     }
     set_phase(host, next);
--- a/crates/borageswitch_planner/src/changes/mod.rs
+++ b/crates/borageswitch_planner/src/changes/mod.rs
@@ -1,11 +1,12 @@
-//! What a change makes of the fleet document.
+//! Applies changes to the fleet document.
 //!
-//! Every daemon applies the same function to the same changes, so all come to the same document.
+//! Every daemon applies the same changes with the same function, so all of them reach the same
+//! document.
 //!
-//! - [`site`] brings the whole document to what operators declare.
+//! - [`site`] replaces the whole declared configuration.
 //! - [`objects`] creates, changes and deletes pools, services, teams and callers.
-//! - [`hosts`] carries a host from phase to phase.
-//! - [`waves`] starts, steers and ends maintenance waves.
+//! - [`hosts`] moves a host between the phases of its lifecycle.
+//! - [`waves`] starts, pauses, resumes, aborts and finishes maintenance waves.
 //! - [`power`] throttles, switches off and starts hosts under the power cap.
 
 mod hosts;
@@ -30,35 +31,35 @@
 
 use crate::invariants;
 
-pub(crate) use self::{hosts::doing, waves::status_word};
+pub(crate) use self::{hosts::describe_phase, waves::status_name};
 
-/// Applies a change and gives the revision that it made.
+/// Applies a change and returns the revision that it created.
 ///
-/// A repeated operation changes nothing and gives the revision that it made the first time.
+/// A repeated operation changes nothing and returns the revision of its first application.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] says why; the document is as it was.
+/// Returns a [`Refusal`] with the reason; the document is unchanged then.
 ///
 /// # Panics
 ///
-/// If the change would break an invariant that no refusal guards: the daemon must not write such a
-/// document, and no daemon may go on from it.
+/// If the change violates an invariant that no refusal covers. The daemon must not write such a
+/// document, and no daemon may continue from it.
 pub fn apply(fleet: &mut Fleet, req: &ChangeRequest) -> Result<Revision, Refusal> {
     if let Some(applied) = fleet.find_operation(&req.operation) {
         return Ok(applied.revision);
     }
     check_revision(fleet, req)?;
     let mut next = fleet.clone();
-    pass_fence(&mut next, req)?;
-    make(&mut next, req)?;
+    advance_fence(&mut next, req)?;
+    apply_change(&mut next, req)?;
     check_power(fleet, &next)?;
     next.revision = fleet.revision.next();
     next.recent.push_back(AppliedChange { revision: next.revision, request: req.clone() });
     while next.recent.len() > RECENT_CHANGES {
         next.recent.pop_front();
     }
-    invariants::assert_kept(fleet, &next);
+    invariants::assert_invariants(fleet, &next);
     *fleet = next;
     Ok(fleet.revision)
 }
@@ -77,7 +78,7 @@
     Err(Refusal::RevisionConflict { expected, found: fleet.revision, since: since.into() })
 }
 
-fn pass_fence(fleet: &mut Fleet, req: &ChangeRequest) -> Result<(), Refusal> {
+fn advance_fence(fleet: &mut Fleet, req: &ChangeRequest) -> Result<(), Refusal> {
     let Author::Holder { duty, fence } = &req.author else { return Ok(()) };
     if fleet.fences.get(duty).is_some_and(|seen| seen > fence) {
         return Err(Refusal::Fenced { duty: duty.clone() });
@@ -86,10 +87,10 @@
     Ok(())
 }
 
-/// Refuses a change that reserves more watts than the cap allows.
+/// Refuses a change that reserves more power than the cap allows.
 ///
-/// A cap that was just lowered can lie below what is reserved already. Then changes that reserve
-/// no more than before are accepted, or the throttles that bring the reservation down could not be
+/// The reserved power may exceed a cap that was just lowered. Changes that do not increase the
+/// reservation are accepted even then, since otherwise the throttles that reduce it could not be
 /// written.
 fn check_power(before: &Fleet, after: &Fleet) -> Result<(), Refusal> {
     let needed = after.reserved_power();
@@ -99,7 +100,7 @@
     Err(Refusal::PowerExceeded { needed, cap: after.power_cap })
 }
 
-fn make(fleet: &mut Fleet, req: &ChangeRequest) -> Result<(), Refusal> {
+fn apply_change(fleet: &mut Fleet, req: &ChangeRequest) -> Result<(), Refusal> {
     let operation = &req.operation;
     match &req.change {
         FleetChange::ApplySite(site) => site::apply_site(fleet, site),
@@ -131,7 +132,7 @@
         FleetChange::FinishLeave { host, not_after } => {
             hosts::finish_leave(fleet, host, *not_after, operation)
         }
-        FleetChange::HostBack { host, operation } => hosts::back(fleet, host, operation),
+        FleetChange::HostBack { host, operation } => hosts::host_back(fleet, host, operation),
         FleetChange::PassTrial { host } => hosts::pass_trial(fleet, host),
         FleetChange::FailHost { host, reason } => hosts::fail(fleet, host, reason),
         FleetChange::HaltWave { wave, reason } => waves::halt(fleet, wave, reason),
@@ -176,14 +177,14 @@
     Refusal::WrongState { field: field.into(), reason: Reason::from(reason) }
 }
 
-/// Every change of pool or phase begins a new epoch, so that slots lent and reports made under the
-/// old one cannot count for the new one.
+/// Sets the phase and begins a new epoch, so that slots lent and reports made in the old epoch do
+/// not count in the new one.
 fn set_phase(host: &mut Host, phase: HostPhase) {
     host.phase = phase;
     host.epoch += 1;
 }
 
-/// Takes a host out of every wave that has not ended, with a note of the reason.
+/// Removes a host from every wave that it is pending in or out for, and records the reason.
 fn skip_in_waves(fleet: &mut Fleet, name: &HostName, why: &str) {
     for wave in fleet.waves.values_mut() {
         let pending = wave.pending.remove(name);
@@ -194,7 +195,7 @@
     }
 }
 
-/// The reason of a step that the planner takes by itself.
+/// Converts a text to the reason of a planner step.
 pub fn reason<T>(text: T) -> Arc<str>
 where
     T: Into<Arc<str>>,
--- a/crates/borageswitch_planner/src/changes/objects.rs
+++ b/crates/borageswitch_planner/src/changes/objects.rs
@@ -8,7 +8,9 @@
 
 use crate::{
     capacity,
-    changes::{find_host, hosts::doing, invalid, site, skip_in_waves, unknown, wrong_state},
+    changes::{
+        find_host, hosts::describe_phase, invalid, site, skip_in_waves, unknown, wrong_state,
+    },
 };
 
 pub(super) fn set_pool(fleet: &mut Fleet, name: &PoolName, spec: &Pool) -> Result<(), Refusal> {
@@ -26,13 +28,13 @@
     Ok(())
 }
 
-/// Refuses if a host or a service stands in the pool, or a host is on its way to it.
+/// Refuses if a host or service belongs to the pool, or a host is moving to it.
 pub(super) fn check_pool_unused(fleet: &Fleet, pool: &PoolName) -> Result<(), Refusal> {
     if let Some((service, _)) = fleet.services.iter().find(|(_, service)| service.pool == *pool) {
         return Err(wrong_state("pool", format!("service '{service}' stands in '{pool}'")));
     }
-    let bound = |host: &Host| host.pool == *pool || destination(host) == Some(pool);
-    match fleet.hosts.iter().find(|(_, host)| bound(host)) {
+    let uses_pool = |host: &Host| host.pool == *pool || destination(host) == Some(pool);
+    match fleet.hosts.iter().find(|(_, host)| uses_pool(host)) {
         Some((host, _)) => {
             Err(wrong_state("pool", format!("host '{host}' stands in '{pool}' or goes there")))
         }
@@ -58,14 +60,14 @@
         return Err(unknown("spec.pool", spec.pool.as_str()));
     }
     let before = fleet.services.insert(name.clone(), spec.clone());
-    if !promises_no_more(before.as_ref(), spec) {
+    if !is_budget_at_most(before.as_ref(), spec) {
         capacity::check_installed(fleet, &spec.pool)?;
     }
     Ok(())
 }
 
-/// Whether a service's budget is no harder to keep than it was.
-pub(super) fn promises_no_more(before: Option<&Service>, after: &Service) -> bool {
+/// Whether the new budget of a service is at most as strict as the old one.
+pub(super) fn is_budget_at_most(before: Option<&Service>, after: &Service) -> bool {
     before.is_some_and(|before| {
         before.pool == after.pool
             && before.survives == after.survives
@@ -95,9 +97,10 @@
         return Err(wrong_state("host", format!("'{name}' exists already")));
     }
     let addresses = |host: &Host| [host.spec.addresses.target, host.spec.addresses.agent];
-    let mine = [spec.addresses.target, spec.addresses.agent];
-    let taken = |host: &Host| addresses(host).iter().any(|address| mine.contains(address));
-    if let Some((other, _)) = fleet.hosts.iter().find(|(_, host)| taken(host)) {
+    let new_addresses = [spec.addresses.target, spec.addresses.agent];
+    let has_same_address =
+        |host: &Host| addresses(host).iter().any(|address| new_addresses.contains(address));
+    if let Some((other, _)) = fleet.hosts.iter().find(|(_, host)| has_same_address(host)) {
         let why = format!("an address belongs to '{other}' already");
         return Err(invalid("spec.addresses", &why));
     }
@@ -108,7 +111,7 @@
 pub(super) fn remove_host(fleet: &mut Fleet, name: &HostName) -> Result<(), Refusal> {
     let host = find_host(fleet, name)?;
     if !matches!(host.phase, HostPhase::Held { .. } | HostPhase::Failed { .. }) {
-        let state = doing(host);
+        let state = describe_phase(host);
         return Err(wrong_state("host", format!("'{name}' is {state}; hold it first")));
     }
     fleet.hosts.remove(name);
--- a/crates/borageswitch_planner/src/changes/power.rs
+++ b/crates/borageswitch_planner/src/changes/power.rs
@@ -1,8 +1,9 @@
 //! Throttles, switches off and starts hosts under the power cap.
 //!
-//! The cap is kept by reservation. A host counts at its peak until a throttle is confirmed, and a
-//! throttle is lifted only after the peak is reserved again; both are states of the document, so a
-//! planner that takes over finds what was asked and with which operation id.
+//! The cap is enforced by reservation. A host's peak draw stays reserved until a throttle is
+//! confirmed, and a throttle is lifted only after the peak is reserved again. Both are states of
+//! the document, so that after a takeover the new planner finds which commands were sent and their
+//! operation ids.
 
 use borageswitch_types::{
     Fleet,
@@ -13,7 +14,7 @@
 
 use crate::changes::{
     find_host,
-    hosts::{begin_off, doing},
+    hosts::{begin_switch_off, describe_phase},
     invalid, set_phase, skip_in_waves, wrong_state,
 };
 
@@ -36,7 +37,7 @@
         HostPhase::Serving | HostPhase::Trial { .. } | HostPhase::Leaving { .. }
     );
     if !running {
-        return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+        return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     }
     match host.power {
         HostPower::Full | HostPower::Lifting { .. } => {
@@ -50,12 +51,12 @@
 pub(super) fn confirm_throttle(
     fleet: &mut Fleet,
     name: &HostName,
-    answered: &OperationId,
+    reported: &OperationId,
 ) -> Result<(), Refusal> {
     let host = find_host(fleet, name)?;
     host.power = match &host.power {
-        HostPower::Throttling { operation } if operation == answered => HostPower::Throttled,
-        HostPower::Lifting { operation } if operation == answered => HostPower::Full,
+        HostPower::Throttling { operation } if operation == reported => HostPower::Throttled,
+        HostPower::Lifting { operation } if operation == reported => HostPower::Full,
         HostPower::Throttling { .. } | HostPower::Lifting { .. } => {
             let why = "another command was given since".to_owned();
             return Err(wrong_state("operation", why));
@@ -80,10 +81,10 @@
     }
 }
 
-/// Takes a host out of service for its watts.
+/// Takes a host out of service to release its power.
 ///
-/// The cap is physical and goes before a budget, so this alone may take capacity that a service
-/// was promised; it is refused while the reservation is within the cap.
+/// The cap is a physical limit and takes precedence over budgets, so this change may remove
+/// capacity promised to a service. It is refused while the reservation is within the cap.
 pub(super) fn park(fleet: &mut Fleet, name: &HostName) -> Result<(), Refusal> {
     if fleet.reserved_power() <= fleet.power_cap {
         return Err(wrong_state("host", "the reservation is within the power cap".to_owned()));
@@ -95,7 +96,7 @@
             skip_in_waves(fleet, name, "the power cap left no watts for it");
             Ok(())
         }
-        _ => Err(wrong_state("host", format!("'{name}' is {}", doing(host)))),
+        _ => Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host)))),
     }
 }
 
@@ -108,7 +109,7 @@
     let idle =
         matches!(host.phase, HostPhase::Held { .. } | HostPhase::Failed { .. } | HostPhase::Parked);
     if !idle {
-        return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+        return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     }
     match host.power {
         HostPower::Off | HostPower::SwitchingOff { .. } => {
@@ -119,7 +120,7 @@
         | HostPower::Throttled
         | HostPower::Surging
         | HostPower::Lifting { .. } => {
-            begin_off(host, operation);
+            begin_switch_off(host, operation);
             Ok(())
         }
     }
@@ -146,12 +147,12 @@
     let host = find_host(fleet, name)?;
     let may_start = match host.phase {
         HostPhase::Parked => host.power == HostPower::Off,
-        // While a failed host is being switched off, a start could be overtaken by that command.
+        // A pending command to switch a failed host off could arrive after the start.
         HostPhase::Failed { .. } => !matches!(host.power, HostPower::SwitchingOff { .. }),
         _ => false,
     };
     if !may_start {
-        return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+        return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     }
     host.power = HostPower::Full;
     set_phase(host, HostPhase::Starting { operation: operation.clone(), not_after });
--- a/crates/borageswitch_planner/src/changes/site.rs
+++ b/crates/borageswitch_planner/src/changes/site.rs
@@ -1,4 +1,4 @@
-//! Brings the whole document to what operators declare.
+//! Replaces the declared configuration of the whole site.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -11,18 +11,18 @@
 use crate::{
     capacity,
     changes::{
-        hosts::doing,
+        hosts::describe_phase,
         invalid,
-        objects::{check_pool_unused, promises_no_more},
+        objects::{check_pool_unused, is_budget_at_most},
         skip_in_waves, unknown, wrong_state,
     },
 };
 
 pub(super) fn apply_site(fleet: &mut Fleet, site: &SiteConfig) -> Result<(), Refusal> {
     check_site(site)?;
-    let gone = removed_hosts(fleet, site)?;
+    let removed = removed_hosts(fleet, site)?;
     let before = std::mem::replace(&mut fleet.services, site.services.clone());
-    for name in &gone {
+    for name in &removed {
         fleet.hosts.remove(name);
         skip_in_waves(fleet, name, "it was removed");
     }
@@ -35,18 +35,18 @@
     for (name, (spec, pool)) in &site.hosts {
         declare_host(fleet, name, spec, pool);
     }
-    let harder = site
+    let raised = site
         .services
         .iter()
-        .filter(|(name, service)| !promises_no_more(before.get(*name), service));
-    for (_, service) in harder {
+        .filter(|(name, service)| !is_budget_at_most(before.get(*name), service));
+    for (_, service) in raised {
         capacity::check_installed(fleet, &service.pool)?;
     }
     Ok(())
 }
 
-/// Known hosts keep pool and phase; a changed specification begins a new epoch, so that slots
-/// dealt by the old one are void.
+/// Known hosts keep their pool and phase. A changed specification begins a new epoch, which
+/// invalidates the slots that were allocated under the old one.
 fn declare_host(fleet: &mut Fleet, name: &HostName, spec: &HostSpec, pool: &names::PoolName) {
     match fleet.hosts.get_mut(name) {
         Some(known) if known.spec == *spec => {}
@@ -61,12 +61,14 @@
 }
 
 fn removed_hosts(fleet: &Fleet, site: &SiteConfig) -> Result<Vec<HostName>, Refusal> {
-    let gone = fleet.hosts.iter().filter(|(name, _)| !site.hosts.contains_key(*name));
+    let removed = fleet.hosts.iter().filter(|(name, _)| !site.hosts.contains_key(*name));
     let mut names = Vec::new();
-    for (name, host) in gone {
+    for (name, host) in removed {
         if !matches!(host.phase, HostPhase::Held { .. } | HostPhase::Failed { .. }) {
-            let why =
-                format!("'{name}' is no longer declared but is {}; hold it first", doing(host));
+            let why = format!(
+                "'{name}' is no longer declared but is {}; hold it first",
+                describe_phase(host)
+            );
             return Err(wrong_state("hosts", why));
         }
         names.push(name.clone());
@@ -74,10 +76,10 @@
     Ok(names)
 }
 
-/// Refuses to forget a pool in which a known host stands or to which one goes.
+/// Refuses to remove a pool that a known host belongs to or is moving to.
 fn check_removed_pools(fleet: &Fleet, site: &SiteConfig) -> Result<(), Refusal> {
-    let gone = fleet.pools.keys().filter(|pool| !site.pools.contains_key(*pool));
-    gone.into_iter().try_for_each(|pool| check_pool_unused(fleet, pool))
+    let removed = fleet.pools.keys().filter(|pool| !site.pools.contains_key(*pool));
+    removed.into_iter().try_for_each(|pool| check_pool_unused(fleet, pool))
 }
 
 fn check_site(site: &SiteConfig) -> Result<(), Refusal> {
--- a/crates/borageswitch_planner/src/changes/tests.rs
+++ b/crates/borageswitch_planner/src/changes/tests.rs
@@ -1,4 +1,4 @@
-//! What each change does, and what it refuses.
+//! Tests the effect and the refusals of each change.
 
 use std::time::Duration;
 
@@ -93,9 +93,10 @@
     assert_eq!(fleet, after);
 }
 
-/// Two operators race. The slower one must learn what has changed instead of overwriting it.
+/// Two operators make concurrent changes. The later one must be refused with the changes made
+/// since, instead of overwriting them.
 #[test]
-fn the_loser_of_a_race_is_told_what_changed() {
+fn a_revision_conflict_lists_the_changes_since() {
     let mut fleet = site();
     let seen = fleet.revision;
     accept(&mut fleet, vec![hold(0)]);
@@ -111,9 +112,10 @@
     assert_eq!(&*since, "a test");
 }
 
-/// A planner was paused past its lease and wakes up. Its write must not undo its successor's.
+/// A planner is paused beyond the end of its lease and then writes. Its write must not undo changes
+/// of its successor.
 #[test]
-fn a_holder_with_an_old_fence_is_refused() {
+fn a_holder_with_an_old_fencing_token_is_refused() {
     let mut fleet = site();
     let holder = |fence| Author::Holder { duty: Duty::Planner, fence: Fence(fence) };
     let mut new = request(&fleet, FleetChange::TakeDuty { duty: Duty::Planner });
@@ -130,9 +132,9 @@
 }
 
 #[test]
-fn a_bad_site_is_refused_by_the_name_of_its_field() {
-    type Spoil = fn(&mut SiteConfig);
-    let cases: [(&str, Spoil); 9] = [
+fn an_invalid_site_is_refused_with_the_name_of_its_field() {
+    type Modify = fn(&mut SiteConfig);
+    let cases: [(&str, Modify); 9] = [
         ("entries_expected", |site| site.entries_expected = 0),
         ("services.payroll.pool", |site| {
             site.services.get_mut("payroll").unwrap().pool = PoolName::from("nowhere");
@@ -159,11 +161,11 @@
             site.pools.insert(PoolName::from("No Such"), Pool::default());
         }),
     ];
-    for (field, spoil) in cases {
+    for (field, modify) in cases {
         let mut fleet = site();
         let before = fleet.clone();
         let mut bad = declared();
-        spoil(&mut bad);
+        modify(&mut bad);
 
         let refusal = change(&mut fleet, FleetChange::ApplySite(Box::new(bad))).unwrap_err();
 
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn a_site_keeps_what_hosts_are_doing() {
+fn applying_a_site_keeps_the_phases_of_hosts() {
     let mut fleet = site();
     accept(&mut fleet, vec![hold(0)]);
     let before = fleet.hosts.clone();
@@ -198,7 +200,7 @@
 }
 
 #[test]
-fn a_promise_that_the_pool_cannot_keep_is_refused() {
+fn a_budget_that_the_pool_cannot_meet_is_refused() {
     let mut fleet = site();
     let mut greedy = fleet.services["payroll"].clone();
     greedy.promised_slots = 1_000;
@@ -212,7 +214,7 @@
 }
 
 #[test]
-fn a_hold_or_move_that_breaks_a_promise_is_refused_by_its_service() {
+fn a_hold_or_move_that_violates_a_budget_is_refused_with_its_service() {
     let mut fleet = site();
     accept(&mut fleet, vec![hold(0)]);
     let service = ServiceName::from("rostering");
@@ -264,7 +266,7 @@
 }
 
 #[test]
-fn removing_a_team_forgets_its_callers() {
+fn removing_a_team_removes_its_callers() {
     let mut fleet = site();
     let team = TeamName::from("clerks");
     let caller = CallerName::from("thandi");
@@ -328,10 +330,10 @@
     assert_eq!(field_of(refusal), "hosts");
 }
 
-/// An operator pauses a wave. A host that has not rebooted yet serves again at once and keeps its
-/// place; one that reboots comes back first.
+/// When an operator pauses a wave, a host that has not rebooted yet must serve again at once and
+/// stay pending; a host that is rebooting finishes first.
 #[test]
-fn a_paused_wave_gives_back_what_it_can() {
+fn a_paused_wave_returns_hosts_that_have_not_rebooted() {
     let mut fleet = site();
     let leave = |at| FleetChange::BeginLeave { host: host(at), wave: wave() };
     accept(&mut fleet, vec![start_wave(&[0, 1]), leave(0), finish_leave(0), leave(1)]);
@@ -347,7 +349,7 @@
 }
 
 #[test]
-fn an_aborted_wave_passes_over_what_is_left() {
+fn an_aborted_wave_skips_its_remaining_hosts() {
     let mut fleet = site();
     let leave = |at| FleetChange::BeginLeave { host: host(at), wave: wave() };
     accept(&mut fleet, vec![start_wave(&[0, 1, 2]), leave(0), leave(1), finish_leave(1)]);
@@ -402,10 +404,10 @@
     assert_eq!(fleet.reserved_power(), Watts(reserved.0 - 700));
 }
 
-/// The cap drops below what is reserved. The change must be accepted, or nobody could lower a cap;
-/// from then on nothing may reserve more until the reservation is below it.
+/// The cap is lowered below the reserved power. The change must be accepted, or no cap could be
+/// lowered in use; no later change may increase the reservation until it is below the cap.
 #[test]
-fn a_lowered_cap_is_accepted_and_nothing_grows_above_it() {
+fn a_lowered_cap_is_accepted_and_no_reservation_grows_above_it() {
     let mut fleet = site();
     let low = Watts(fleet.reserved_power().0 - 500);
     let leave = FleetChange::BeginLeave { host: host(0), wave: wave() };
@@ -420,7 +422,7 @@
 }
 
 #[test]
-fn a_host_is_stopped_for_its_watts_only_above_the_cap() {
+fn a_host_is_stopped_for_power_only_above_the_cap() {
     let mut fleet = site();
     let park = FleetChange::ParkHost { host: host(0) };
 
@@ -435,8 +437,8 @@
     assert_eq!(fleet.hosts["h0000"].reserved_power(), Watts(0));
 }
 
-/// A host fails while it boots and an operator releases it. It may still be booting: if it counted
-/// at its peak from now on, the watts between peak and surge could be spent twice.
+/// A host fails while it boots and an operator releases it. It may still be booting: if only its
+/// peak were reserved, the difference between peak and boot surge could be spent twice.
 #[test]
 fn a_host_that_failed_while_booting_is_switched_off_before_it_serves() {
     let mut fleet = site();
@@ -462,7 +464,7 @@
 }
 
 #[test]
-fn the_document_survives_its_own_json() {
+fn the_document_round_trips_through_json() {
     let mut fleet = site();
     accept(&mut fleet, vec![start_wave(&[]), hold(0)]);
 
--- a/crates/borageswitch_planner/src/changes/waves.rs
+++ b/crates/borageswitch_planner/src/changes/waves.rs
@@ -1,7 +1,7 @@
-//! Starts, steers and ends maintenance waves.
+//! Starts, pauses, resumes, aborts and finishes maintenance waves.
 //!
-//! Hosts that are out when a wave stops come back first: one that is rebooting or on trial ends its
-//! way, and one that is still leaving serves again.
+//! Hosts that are out when a wave stops return to service first: a host that is rebooting or on
+//! trial completes that, and a host that is still leaving serves again.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -11,7 +11,9 @@
     names::{HostName, WaveName},
 };
 
-use crate::changes::{find_host, find_wave, hosts::doing, invalid, set_phase, wrong_state};
+use crate::changes::{
+    find_host, find_wave, hosts::describe_phase, invalid, set_phase, wrong_state,
+};
 
 pub(super) fn start(
     fleet: &mut Fleet,
@@ -24,7 +26,7 @@
     }
     check_settings(settings)?;
     let pending = match hosts {
-        [] => all_idle(fleet),
+        [] => all_eligible_hosts(fleet),
         named => named_hosts(fleet, named)?,
     };
     if pending.is_empty() {
@@ -53,13 +55,13 @@
     Ok(())
 }
 
-/// Whether a host is in no wave and in no phase that a wave would have to wait for.
-fn may_join(fleet: &Fleet, name: &HostName) -> Result<(), String> {
+/// Checks that a host is in no other wave and in no phase that a wave would have to wait for.
+fn check_eligible(fleet: &Fleet, name: &HostName) -> Result<(), String> {
     let Some(host) = fleet.hosts.get(name) else { return Err(format!("'{name}' is unknown")) };
-    let gone =
+    let unavailable =
         matches!(host.phase, HostPhase::Held { .. } | HostPhase::Failed { .. } | HostPhase::Parked);
-    if gone {
-        return Err(format!("'{name}' is {}", doing(host)));
+    if unavailable {
+        return Err(format!("'{name}' is {}", describe_phase(host)));
     }
     let other =
         fleet.waves.iter().find(|(_, wave)| wave.pending.contains(name) || wave.out.contains(name));
@@ -69,14 +71,14 @@
     }
 }
 
-fn all_idle(fleet: &Fleet) -> BTreeSet<HostName> {
-    fleet.hosts.keys().filter(|name| may_join(fleet, name).is_ok()).cloned().collect()
+fn all_eligible_hosts(fleet: &Fleet) -> BTreeSet<HostName> {
+    fleet.hosts.keys().filter(|name| check_eligible(fleet, name).is_ok()).cloned().collect()
 }
 
 fn named_hosts(fleet: &mut Fleet, named: &[HostName]) -> Result<BTreeSet<HostName>, Refusal> {
     for name in named {
         find_host(fleet, name)?;
-        may_join(fleet, name).map_err(|why| wrong_state("hosts", why))?;
+        check_eligible(fleet, name).map_err(|why| wrong_state("hosts", why))?;
     }
     Ok(named.iter().cloned().collect())
 }
@@ -84,10 +86,10 @@
 pub(super) fn pause(fleet: &mut Fleet, name: &WaveName) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     if wave.status != WaveStatus::Running {
-        return Err(not_allowed(name, wave, "paused"));
+        return Err(wrong_status(name, wave, "paused"));
     }
     wave.status = WaveStatus::Paused;
-    for host in take_back_leaving(fleet, name)? {
+    for host in cancel_leaving(fleet, name)? {
         find_wave(fleet, name)?.pending.insert(host);
     }
     Ok(())
@@ -96,16 +98,16 @@
 pub(super) fn halt(fleet: &mut Fleet, name: &WaveName, why: &Reason) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     if wave.status != WaveStatus::Running {
-        return Err(not_allowed(name, wave, "halted"));
+        return Err(wrong_status(name, wave, "halted"));
     }
     wave.status = WaveStatus::Halted { reason: why.clone() };
-    for host in take_back_leaving(fleet, name)? {
+    for host in cancel_leaving(fleet, name)? {
         find_wave(fleet, name)?.pending.insert(host);
     }
     Ok(())
 }
 
-/// Resuming a halted wave accepts the failures so far: the next one halts it again.
+/// Resuming a halted wave accepts the failures so far: one more failure halts it again.
 pub(super) fn resume(fleet: &mut Fleet, name: &WaveName) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     match wave.status {
@@ -115,17 +117,17 @@
             wave.status = WaveStatus::Running;
             Ok(())
         }
-        _ => Err(not_allowed(name, wave, "resumed")),
+        _ => Err(wrong_status(name, wave, "resumed")),
     }
 }
 
 pub(super) fn abort(fleet: &mut Fleet, name: &WaveName) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     if matches!(wave.status, WaveStatus::Aborting | WaveStatus::Finished) {
-        return Err(not_allowed(name, wave, "aborted"));
+        return Err(wrong_status(name, wave, "aborted"));
     }
     wave.status = WaveStatus::Aborting;
-    for host in take_back_leaving(fleet, name)? {
+    for host in cancel_leaving(fleet, name)? {
         find_wave(fleet, name)?.skipped.insert(host, "the wave was aborted".into());
     }
     let wave = find_wave(fleet, name)?;
@@ -135,26 +137,27 @@
     Ok(())
 }
 
-/// Lets the hosts that still leave for a wave serve again, and takes them out of its `out`.
-fn take_back_leaving(fleet: &mut Fleet, name: &WaveName) -> Result<Vec<HostName>, Refusal> {
+/// Returns hosts that are still leaving for the wave to service, and removes them from its `out`
+/// set.
+fn cancel_leaving(fleet: &mut Fleet, name: &WaveName) -> Result<Vec<HostName>, Refusal> {
     let out = find_wave(fleet, name)?.out.clone();
-    let mut back = Vec::new();
+    let mut returned = Vec::new();
     for host_name in out {
         let host = find_host(fleet, &host_name)?;
         if matches!(host.phase, HostPhase::Leaving { why: LeaveReason::Wave { .. } }) {
             set_phase(host, HostPhase::Serving);
-            back.push(host_name);
+            returned.push(host_name);
         }
     }
     let wave = find_wave(fleet, name)?;
-    wave.out.retain(|host| !back.contains(host));
-    Ok(back)
+    wave.out.retain(|host| !returned.contains(host));
+    Ok(returned)
 }
 
 pub(super) fn finish(fleet: &mut Fleet, name: &WaveName) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     if wave.status == WaveStatus::Finished {
-        return Err(not_allowed(name, wave, "finished"));
+        return Err(wrong_status(name, wave, "finished"));
     }
     if !wave.out.is_empty() || !wave.pending.is_empty() {
         return Err(wrong_state("wave", format!("'{name}' has hosts left")));
@@ -166,7 +169,7 @@
 pub(super) fn remove(fleet: &mut Fleet, name: &WaveName) -> Result<(), Refusal> {
     let wave = find_wave(fleet, name)?;
     if wave.status != WaveStatus::Finished {
-        return Err(not_allowed(name, wave, "removed"));
+        return Err(wrong_status(name, wave, "removed"));
     }
     fleet.waves.remove(name);
     Ok(())
@@ -186,7 +189,7 @@
     }
     let host = find_host(fleet, name)?;
     if host.phase != HostPhase::Serving {
-        return Err(wrong_state("host", format!("'{name}' is {}", doing(host))));
+        return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     }
     let pool = host.pool.clone();
     crate::capacity::check_budgets(fleet, &pool, &[name])?;
@@ -200,12 +203,12 @@
     Ok(())
 }
 
-fn not_allowed(name: &WaveName, wave: &Wave, what: &str) -> Refusal {
-    wrong_state("wave", format!("'{name}' is {} and cannot be {what}", status_word(&wave.status)))
+fn wrong_status(name: &WaveName, wave: &Wave, action: &str) -> Refusal {
+    wrong_state("wave", format!("'{name}' is {} and cannot be {action}", status_name(&wave.status)))
 }
 
-/// How a wave stands, for people.
-pub(crate) fn status_word(status: &WaveStatus) -> &'static str {
+/// The name of a wave's status for messages.
+pub(crate) fn status_name(status: &WaveStatus) -> &'static str {
     match status {
         WaveStatus::Running => "running",
         WaveStatus::Paused => "paused",
--- a/crates/borageswitch_planner/src/explain.rs
+++ b/crates/borageswitch_planner/src/explain.rs
@@ -1,7 +1,7 @@
-//! Tells in plain sentences why a host, a pool or a wave waits.
+//! Explains in plain sentences why a host, a pool or a wave waits.
 //!
-//! The sentences come from the same checks by which the planner decides, run on the same document
-//! and observations, so that they cannot disagree with what it does.
+//! The explanations use the planner's own checks on the same document and observations, so they
+//! cannot contradict its decisions.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    changes::{doing, status_word},
+    changes::{describe_phase, status_name},
     steps::{
         Observed, Plan, Step,
         hosts::{
@@ -25,25 +25,27 @@
     },
 };
 
-/// The most hosts that one explanation names one by one.
+/// Maximum number of hosts that one explanation lists individually.
 const MAX_NAMED: usize = 8;
 
-/// Why a host is as it is and what it waits for; empty if there is no such host.
+/// Explains the state of a host and what it waits for. Empty if the host does not exist.
 pub fn host(fleet: &Fleet, observed: &Observed, name: &HostName) -> Vec<Reason> {
     let Some((name, host)) = fleet.hosts.get_key_value(name) else { return Vec::new() };
     let plan = Plan::new(fleet, observed);
-    let mut lines = vec![format!("{name} stands in {} and is {}.", host.pool, doing(host))];
-    lines.extend(phase(&plan, name, host));
-    lines.extend(health(&plan, name));
-    lines.extend(power_state(&plan, name, host));
+    let mut lines =
+        vec![format!("{name} stands in {} and is {}.", host.pool, describe_phase(host))];
+    lines.extend(phase_detail(&plan, name, host));
+    lines.extend(health_detail(&plan, name));
+    lines.extend(power_detail(&plan, name, host));
     if host.phase == HostPhase::Serving {
-        lines.extend(pending(&plan, name, host));
+        lines.extend(pending_detail(&plan, name, host));
     }
-    lines.extend(planned(fleet, observed, |change| subject(change) == Some(name)));
-    finish(fleet, lines, |change| subject(change) == Some(name))
+    lines.extend(next_changes(fleet, observed, |change| changed_host(change) == Some(name)));
+    with_last_change(fleet, lines, |change| changed_host(change) == Some(name))
 }
 
-/// How a pool stands against its promises and its size; empty if there is no such pool.
+/// Explains the size of a pool and whether its availability budgets are met. Empty if the pool does
+/// not exist.
 pub fn pool(fleet: &Fleet, observed: &Observed, name: &PoolName) -> Vec<Reason> {
     let Some((name, spec)) = fleet.pools.get_key_value(name) else { return Vec::new() };
     let plan = Plan::new(fleet, observed);
@@ -63,48 +65,49 @@
     let spare = Plan::new(fleet, observed).ledger.removable(&hosts).len();
     lines.push(format!("It could let {spare} of its serving hosts go now."));
     for (host_name, host) in hosts.iter().filter(|(_, h)| h.phase != HostPhase::Serving) {
-        lines.push(format!("{host_name} is {}.", doing(host)));
+        lines.push(format!("{host_name} is {}.", describe_phase(host)));
     }
-    lines.extend(size_wait(&plan, &size));
-    lines.extend(planned(fleet, observed, |change| {
+    lines.extend(size_detail(&plan, &size));
+    lines.extend(next_changes(fleet, observed, |change| {
         matches!(change, FleetChange::MoveHost { to, .. } if to == name)
-            || subject(change).is_some_and(|host| hosts.iter().any(|(other, _)| *other == host))
+            || changed_host(change)
+                .is_some_and(|host| hosts.iter().any(|(other, _)| *other == host))
     }));
-    finish(fleet, lines, |change| match change {
+    with_last_change(fleet, lines, |change| match change {
         FleetChange::SetPool { pool, .. } => pool == name,
         FleetChange::MoveHost { to, .. } => to == name,
         _ => false,
     })
 }
 
-/// How far a wave has come and what it waits for; empty if there is no such wave.
+/// Explains the progress of a wave and what it waits for. Empty if the wave does not exist.
 pub fn wave(fleet: &Fleet, observed: &Observed, name: &WaveName) -> Vec<Reason> {
     let Some((name, record)) = fleet.waves.get_key_value(name) else { return Vec::new() };
     let plan = Plan::new(fleet, observed);
     let mut lines = vec![format!(
         "{name} is {}: {} pending, {} out, {} done, {} failed, {} passed over.",
-        status_word(&record.status),
+        status_name(&record.status),
         record.pending.len(),
         record.out.len(),
         record.done.len(),
         record.failed.len(),
         record.skipped.len(),
     )];
-    lines.extend(progress(&plan, record));
+    lines.extend(progress_detail(&plan, record));
     for host_name in record.out.iter().take(MAX_NAMED) {
         let Some((host_name, host)) = fleet.hosts.get_key_value(host_name) else { continue };
-        lines.push(format!("{host_name} is {}.", doing(host)));
-        lines.extend(phase(&plan, host_name, host));
+        lines.push(format!("{host_name} is {}.", describe_phase(host)));
+        lines.extend(phase_detail(&plan, host_name, host));
     }
     for (host_name, why) in record.failed.iter().chain(&record.skipped).take(MAX_NAMED) {
         lines.push(format!("{host_name} is not done: {why}."));
     }
-    let steps = planned(fleet, observed, |change| concerns_wave(change, name, record));
+    let steps = next_changes(fleet, observed, |change| concerns_wave(change, name, record));
     if record.status == WaveStatus::Running && steps.is_empty() {
-        lines.extend(blocked(&plan, record));
+        lines.extend(blocking_reasons(&plan, record));
     }
     lines.extend(steps);
-    finish(fleet, lines, |change| concerns_wave(change, name, record))
+    with_last_change(fleet, lines, |change| concerns_wave(change, name, record))
 }
 
 fn concerns_wave(change: &FleetChange, name: &WaveName, record: &Wave) -> bool {
@@ -116,12 +119,12 @@
         | FleetChange::HaltWave { wave, .. }
         | FleetChange::FinishWave { wave }
         | FleetChange::BeginLeave { wave, .. } => wave == name,
-        other => subject(other).is_some_and(|host| record.out.contains(host)),
+        other => changed_host(other).is_some_and(|host| record.out.contains(host)),
     }
 }
 
-/// The host that a change is about.
-pub(crate) fn subject(change: &FleetChange) -> Option<&HostName> {
+/// The host that a change applies to, if it applies to a single one.
+pub(crate) fn changed_host(change: &FleetChange) -> Option<&HostName> {
     match change {
         FleetChange::AddHost { host, .. }
         | FleetChange::RemoveHost { host }
@@ -145,8 +148,8 @@
     }
 }
 
-/// What the planner would change next.
-fn planned<F>(fleet: &Fleet, observed: &Observed, concerns: F) -> Vec<String>
+/// The reasons of the planner's next changes for which `concerns` holds.
+fn next_changes<F>(fleet: &Fleet, observed: &Observed, concerns: F) -> Vec<String>
 where
     F: Fn(&FleetChange) -> bool,
 {
@@ -157,8 +160,8 @@
     next.take(MAX_NAMED).map(|reason| format!("Next: {reason}.")).collect()
 }
 
-/// Adds the last change that the document remembers.
-fn finish<F>(fleet: &Fleet, mut lines: Vec<String>, concerns: F) -> Vec<Reason>
+/// Appends the most recent matching change that the document remembers.
+fn with_last_change<F>(fleet: &Fleet, mut lines: Vec<String>, concerns: F) -> Vec<Reason>
 where
     F: Fn(&FleetChange) -> bool,
 {
@@ -170,7 +173,7 @@
     lines.into_iter().map(Reason::from).collect()
 }
 
-fn phase(plan: &Plan<'_>, name: &HostName, host: &Host) -> Option<String> {
+fn phase_detail(plan: &Plan<'_>, name: &HostName, host: &Host) -> Option<String> {
     let observed = plan.observed;
     match &host.phase {
         HostPhase::Serving => None,
@@ -189,11 +192,11 @@
         HostPhase::Rebooting { operation, not_after, wave } => {
             let timeout =
                 plan.fleet.waves.get(wave).map_or(START_TIMEOUT, |w| w.settings.reboot_timeout);
-            Some(boot_wait(plan, name, observed.has_done(name, operation), not_after.0, timeout))
+            Some(boot_detail(plan, name, observed.has_done(name, operation), not_after.0, timeout))
         }
         HostPhase::Starting { operation, not_after } => {
             let done = observed.has_done(name, operation);
-            Some(boot_wait(plan, name, done, not_after.0, START_TIMEOUT))
+            Some(boot_detail(plan, name, done, not_after.0, START_TIMEOUT))
         }
         HostPhase::Trial { wave } => {
             let trial = plan.fleet.waves.get(wave)?.settings.trial;
@@ -209,11 +212,11 @@
             plan.fleet.reserved_power(),
             plan.fleet.power_cap,
         )),
-        HostPhase::Failed { reason } => Some(failed(plan, name, host, reason)),
+        HostPhase::Failed { reason } => Some(failure_detail(plan, name, host, reason)),
     }
 }
 
-fn boot_wait(
+fn boot_detail(
     plan: &Plan<'_>,
     name: &HostName,
     began: bool,
@@ -231,7 +234,7 @@
     format!("It has been at it for {since} of at most {limit} s: {what}.")
 }
 
-fn failed(plan: &Plan<'_>, name: &HostName, host: &Host, reason: &Reason) -> String {
+fn failure_detail(plan: &Plan<'_>, name: &HostName, host: &Host, reason: &Reason) -> String {
     let next = if host.failures > MAX_RESTARTS {
         format!("after {} failures in a row it waits to be released", host.failures)
     } else if !plan.observed.agents.get(name).is_some_and(|status| status.ready) {
@@ -242,7 +245,7 @@
     format!("What was seen: {reason}; {next}.")
 }
 
-fn health(plan: &Plan<'_>, name: &HostName) -> Option<String> {
+fn health_detail(plan: &Plan<'_>, name: &HostName) -> Option<String> {
     let silent = plan.observed.unreachable_for(name);
     if !silent.is_zero() {
         return Some(format!(
@@ -259,7 +262,7 @@
     Some(format!("It fails what it is given: {seen}."))
 }
 
-fn power_state(plan: &Plan<'_>, name: &HostName, host: &Host) -> Option<String> {
+fn power_detail(plan: &Plan<'_>, name: &HostName, host: &Host) -> Option<String> {
     let lag = READING_LAG.as_secs();
     Some(match &host.power {
         HostPower::Full => return None,
@@ -285,15 +288,15 @@
     })
 }
 
-/// Why a serving host that a wave has ahead of it does not leave.
-fn pending<'a>(plan: &Plan<'a>, name: &'a HostName, host: &'a Host) -> Option<String> {
+/// Explains why a serving host that is pending in a wave has not left yet.
+fn pending_detail<'a>(plan: &Plan<'a>, name: &'a HostName, host: &'a Host) -> Option<String> {
     let waiting = |(_, wave): &(&WaveName, &Wave)| wave.pending.contains(name);
     let (wave_name, wave) = plan.fleet.waves.iter().find(waiting)?;
     if wave.status != WaveStatus::Running {
-        return Some(format!("{wave_name} is {}.", status_word(&wave.status)));
+        return Some(format!("{wave_name} is {}.", status_name(&wave.status)));
     }
     let stage = waves::stage(plan.fleet, wave);
-    if !plan.is_free(name, host) {
+    if !plan.is_available(name, host) {
         return Some(format!("{wave_name} passes it by until it can be reached."));
     }
     if let Err(refusal) = plan.ledger.check_without(name, host) {
@@ -317,7 +320,7 @@
     })
 }
 
-fn progress(plan: &Plan<'_>, record: &Wave) -> Option<String> {
+fn progress_detail(plan: &Plan<'_>, record: &Wave) -> Option<String> {
     match &record.status {
         WaveStatus::Running => Some(match waves::stage(plan.fleet, record) {
             waves::Stage::Canaries { limit } => {
@@ -334,8 +337,8 @@
     }
 }
 
-/// Why no pending host leaves, one line for each kind of cause.
-fn blocked(plan: &Plan<'_>, record: &Wave) -> Vec<String> {
+/// Explains why no pending host leaves, with one line for each distinct cause.
+fn blocking_reasons(plan: &Plan<'_>, record: &Wave) -> Vec<String> {
     let excess = plan.power.excess();
     if excess > 0 {
         let over = Watts(excess);
@@ -348,7 +351,7 @@
     for name in &record.pending {
         let Some((name, host)) = plan.fleet.hosts.get_key_value(name) else { continue };
         let line = if host.phase != HostPhase::Serving {
-            format!("{name} is {}.", doing(host))
+            format!("{name} is {}.", describe_phase(host))
         } else if !plan.observed.is_usable(name) {
             format!("{name} cannot be counted on: it is silent or fails its work.")
         } else if let Err(refusal) = plan.ledger.check_without(name, host) {
@@ -366,17 +369,17 @@
     lines
 }
 
-fn size_wait(plan: &Plan<'_>, size: &moves::PoolSize) -> Option<String> {
+fn size_detail(plan: &Plan<'_>, size: &moves::PoolSize) -> Option<String> {
     let moving =
         |host: &&Host| matches!(host.phase, HostPhase::Leaving { why: LeaveReason::Move { .. } });
     let in_flight = plan.fleet.hosts.values().filter(moving).count();
-    if size.lacks() > 0 && in_flight >= MAX_MOVES {
+    if size.deficit() > 0 && in_flight >= MAX_MOVES {
         return Some(format!("It lacks hosts, and {in_flight} moves are in flight already."));
     }
-    if size.lacks() > 0 {
+    if size.deficit() > 0 {
         return Some(format!(
             "It lacks {} hosts, which come from spare pools and pools with more than they want.",
-            size.lacks()
+            size.deficit()
         ));
     }
     if size.surplus() > 0 {
--- a/crates/borageswitch_planner/src/invariants.rs
+++ b/crates/borageswitch_planner/src/invariants.rs
@@ -1,8 +1,9 @@
-//! What must hold of every fleet document, whatever was asked in which order.
+//! Invariants of the fleet document, which hold after any sequence of changes.
 //!
-//! Refusals guard these rules one change at a time. This module states them once more, over the
-//! whole document, so that a hole in a refusal stops the daemon that would write the document
-//! rather than every daemon that reads it. The cost is one walk over hosts and waves a change.
+//! Each change is checked against these rules before it is applied. This module checks them again
+//! over the whole document, so that a gap in those checks stops the daemon that would write the
+//! document instead of every daemon that reads it. The cost is one pass over hosts and waves per
+//! change.
 
 use std::collections::BTreeMap;
 
@@ -12,33 +13,34 @@
     names::{HostName, WaveName},
 };
 
-/// Asserts that `after`, made from `before` by one change, keeps every rule.
+/// Asserts that `after`, the result of one change to `before`, satisfies every invariant.
 ///
 /// # Panics
 ///
-/// Names the first rule that is broken.
-pub fn assert_kept(before: &Fleet, after: &Fleet) {
+/// Panics with the first invariant that is violated.
+pub fn assert_invariants(before: &Fleet, after: &Fleet) {
     if let Err(broken) = check(before, after) {
         panic!("a change would break the fleet document: {broken}");
     }
 }
 
-/// Names the first rule that `after`, made from `before` by one change, breaks.
+/// Checks that `after`, the result of one change to `before`, satisfies every invariant.
 ///
 /// # Errors
 ///
-/// The rule and where it is broken.
+/// Describes the first violated invariant and where it is violated.
 pub fn check(before: &Fleet, after: &Fleet) -> Result<(), String> {
-    check_growth(before, after)?;
+    check_monotonic(before, after)?;
     check_power(before, after)?;
     check_pools(after)?;
     check_epochs(before, after)?;
-    let placed = check_waves(after)?;
-    check_phases(after, &placed)
+    let out_hosts = check_waves(after)?;
+    check_phases(after, &out_hosts)
 }
 
-/// An older revision or fence would let a paused holder undo what came after it.
-fn check_growth(before: &Fleet, after: &Fleet) -> Result<(), String> {
+/// The revision must grow and fencing tokens must not decrease, or a paused holder could undo later
+/// changes.
+fn check_monotonic(before: &Fleet, after: &Fleet) -> Result<(), String> {
     if after.revision <= before.revision {
         return Err(format!("revision {} follows {}", after.revision, before.revision));
     }
@@ -50,11 +52,11 @@
     Ok(())
 }
 
-/// The reservation may stand above a cap that was just lowered, but then it must not grow.
+/// The reserved power may exceed a cap that was just lowered, but must not grow then.
 fn check_power(before: &Fleet, after: &Fleet) -> Result<(), String> {
-    let (was, is) = (before.reserved_power(), after.reserved_power());
-    if is > after.power_cap && is > was {
-        return Err(format!("{is} reserved under a cap of {}", after.power_cap));
+    let (old, reserved) = (before.reserved_power(), after.reserved_power());
+    if reserved > after.power_cap && reserved > old {
+        return Err(format!("{reserved} reserved under a cap of {}", after.power_cap));
     }
     Ok(())
 }
@@ -76,31 +78,31 @@
     }
 }
 
-/// Work of the old pool could still count for the new one if a change of pool or phase kept the
-/// epoch.
+/// A change of pool or phase must begin a new epoch, or work of the old pool could count for the
+/// new one.
 fn check_epochs(before: &Fleet, after: &Fleet) -> Result<(), String> {
     for (name, host) in &after.hosts {
-        let Some(was) = before.hosts.get(name) else { continue };
-        let same_phase = std::mem::discriminant(&was.phase) == std::mem::discriminant(&host.phase);
-        let same = was.pool == host.pool && same_phase;
-        if host.epoch < was.epoch || (!same && host.epoch == was.epoch) {
+        let Some(old) = before.hosts.get(name) else { continue };
+        let same_phase = std::mem::discriminant(&old.phase) == std::mem::discriminant(&host.phase);
+        let same = old.pool == host.pool && same_phase;
+        if host.epoch < old.epoch || (!same && host.epoch == old.epoch) {
             return Err(format!("host {name} changed but stayed in epoch {}", host.epoch));
         }
         let drained = matches!(
-            was.phase,
+            old.phase,
             HostPhase::Leaving { .. }
                 | HostPhase::Held { .. }
                 | HostPhase::Failed { .. }
                 | HostPhase::Parked
         );
-        if was.pool != host.pool && !drained {
+        if old.pool != host.pool && !drained {
             return Err(format!("host {name} changed pool without leaving the old one"));
         }
     }
     Ok(())
 }
 
-/// Checks that the sets of the waves are disjoint, and gives the wave of each host that is out.
+/// Checks that the host sets of the waves are disjoint. Returns the wave of each host that is out.
 fn check_waves(fleet: &Fleet) -> Result<BTreeMap<&HostName, &WaveName>, String> {
     let mut in_wave: BTreeMap<&HostName, &WaveName> = BTreeMap::new();
     let mut out = BTreeMap::new();
@@ -132,7 +134,7 @@
     }
 }
 
-/// A host is out for a wave if and only if its own record says so.
+/// Checks that a host is out for a wave exactly if its own phase says so.
 fn check_phases(fleet: &Fleet, out: &BTreeMap<&HostName, &WaveName>) -> Result<(), String> {
     for (name, host) in &fleet.hosts {
         let wave = match &host.phase {
--- a/crates/borageswitch_planner/src/lib.rs
+++ b/crates/borageswitch_planner/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions about the fleet: what a change makes of the document, and which step comes next.
+//! Fleet planning: how a change modifies the fleet document, and which steps follow.
 //!
-//! [`changes`] says what the fleet document looks like after a change, or why the change is
-//! refused. Every daemon applies the same function to the same changes, so all come to the same
-//! document. [`invariants`] states what must hold of every document. [`capacity`] measures a pool
-//! against the availability budgets of its services. [`steps`] looks at the document and at what
-//! was observed, and names the steps that the holder of the planner's duty should take now;
-//! [`explain`] tells in sentences why something waits. [`model`] runs whole waves in virtual time
-//! and compares them with [`baselines`]. Jobs are placed by `borageswitch_scheduler`.
+//! [`changes`] applies a change to the fleet document or refuses it with a reason. Every daemon
+//! applies the same changes with the same function, so all of them reach the same document.
+//! [`invariants`] checks the rules that every document satisfies. [`capacity`] checks pools against
+//! the availability budgets of their services. [`steps`] computes the steps that the holder of the
+//! planner's duty should take now, from the document and from observations; [`explain`] describes
+//! why something waits. [`model`] simulates whole waves in virtual time and compares the planner
+//! with [`baselines`]. Jobs are placed by `borageswitch_scheduler`.
 //!
-//! All of it is pure: no I/O, no clock, no random numbers but those that the model draws from its
-//! seed.
+//! The crate does no I/O and reads no clock. Only the model uses random numbers, which it draws
+//! from its seed.
 
 pub mod baselines;
 pub mod capacity;
--- a/crates/borageswitch_planner/src/model/agents.rs
+++ b/crates/borageswitch_planner/src/model/agents.rs
@@ -1,4 +1,4 @@
-//! The hosts' agents of the model: they do what they are told, after a while.
+//! Simulated host agents, which execute each command after a delay.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,24 +14,24 @@
     time::UnixMillis,
 };
 
-/// The mean time until a host that takes no new work has none left.
+/// Mean drain time of a host that accepts no new work.
 const MEAN_DRAIN_SECONDS: f64 = 20.0;
-/// No request is longer than this.
+/// Upper bound of a drain: no request takes longer.
 const LONGEST_DRAIN_SECONDS: f64 = 120.0;
-/// A reboot takes between these times.
+/// Range of the duration of a reboot.
 const REBOOT_SECONDS: std::ops::Range<u64> = 240..480;
-/// After this time an agent has throttled or lifted.
+/// Delay until an agent has applied or lifted a throttle.
 const THROTTLE_TIME: Duration = Duration::from_secs(4);
-/// A host that is told to switch off draws nothing after this time.
+/// Delay until a host that was commanded to switch off draws no power.
 const OFF_TIME: Duration = Duration::from_secs(30);
-/// Readings are so old.
+/// Age of the power readings that an agent reports.
 const READING_AGE: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Power {
     Up,
     Booting { until: Time, operation: OperationId },
-    GoingOff { at: Time, operation: OperationId },
+    SwitchingOff { at: Time, operation: OperationId },
     Off,
 }
 
@@ -39,12 +39,12 @@
 struct Agent {
     drain: Duration,
     reboot: Duration,
-    broken: bool,
+    reboots_broken: bool,
     draw: Draw,
     power: Power,
-    limited: bool,
-    limit_change: Option<(Time, bool, OperationId)>,
-    seen: BTreeSet<OperationId>,
+    is_throttled: bool,
+    throttle_change: Option<(Time, bool, OperationId)>,
+    executed: BTreeSet<OperationId>,
     done: Option<OperationId>,
     leaving_since: Option<(u64, Time)>,
     silent_since: Option<Time>,
@@ -52,32 +52,34 @@
 }
 
 impl Agent {
-    fn draws(&self) -> u64 {
+    fn current_draw(&self) -> u64 {
         match self.power {
             Power::Booting { .. } => self.draw.boot.0.max(self.draw.peak.0),
             Power::Off => 0,
-            Power::Up | Power::GoingOff { .. } if self.limited => self.draw.throttled.0,
-            Power::Up | Power::GoingOff { .. } => self.draw.peak.0,
+            Power::Up | Power::SwitchingOff { .. } if self.is_throttled => self.draw.throttled.0,
+            Power::Up | Power::SwitchingOff { .. } => self.draw.peak.0,
         }
     }
 
-    fn go_on(&mut self, now: Time) {
+    fn advance(&mut self, now: Time) {
         match self.power.clone() {
-            Power::Booting { until, operation } if now >= until && !self.broken => {
+            Power::Booting { until, operation } if now >= until && !self.reboots_broken => {
                 self.power = Power::Up;
                 self.done = Some(operation);
             }
-            Power::GoingOff { at, operation } if now >= at => {
+            Power::SwitchingOff { at, operation } if now >= at => {
                 self.power = Power::Off;
                 self.done = Some(operation);
             }
             _ => {}
         }
-        if let Some((_, limited, operation)) = self.limit_change.take_if(|(at, ..)| now >= *at) {
-            self.limited = limited;
+        if let Some((_, is_throttled, operation)) =
+            self.throttle_change.take_if(|(at, ..)| now >= *at)
+        {
+            self.is_throttled = is_throttled;
             self.done = Some(operation);
         }
-        let reading = self.draws();
+        let reading = self.current_draw();
         self.readings.push((now, reading));
         self.readings.retain(|(at, _)| now.since(*at) <= READING_AGE);
     }
@@ -86,30 +88,29 @@
         match command {
             AgentCommand::Status => {}
             AgentCommand::Reboot { operation, not_after } => {
-                if wall <= *not_after && self.seen.insert(operation.clone()) {
+                if wall <= *not_after && self.executed.insert(operation.clone()) {
                     let until = now + self.reboot;
                     self.power = Power::Booting { until, operation: operation.clone() };
-                    self.limited = false;
-                    self.limit_change = None;
+                    self.is_throttled = false;
+                    self.throttle_change = None;
                 }
             }
             AgentCommand::Throttle { operation, limit_watts } => {
-                if self.seen.insert(operation.clone()) {
+                if self.executed.insert(operation.clone()) {
                     let change = (now + THROTTLE_TIME, limit_watts.is_some(), operation.clone());
-                    self.limit_change = Some(change);
+                    self.throttle_change = Some(change);
                 }
             }
             AgentCommand::PowerOff { operation } => {
-                if self.seen.insert(operation.clone()) {
+                if self.executed.insert(operation.clone()) {
                     let at = now + OFF_TIME;
-                    self.power = Power::GoingOff { at, operation: operation.clone() };
+                    self.power = Power::SwitchingOff { at, operation: operation.clone() };
                 }
             }
         }
     }
 }
 
-/// Every host's agent.
 #[derive(Debug)]
 pub(super) struct Agents {
     agents: BTreeMap<HostName, Agent>,
@@ -125,9 +126,9 @@
         Self { agents }
     }
 
-    pub(super) fn go_on(&mut self, now: Time, fleet: &Fleet) {
+    pub(super) fn advance(&mut self, now: Time, fleet: &Fleet) {
         for (name, agent) in &mut self.agents {
-            agent.go_on(now);
+            agent.advance(now);
             let host = fleet.hosts.get(name);
             let leaving = host.filter(|host| matches!(host.phase, HostPhase::Leaving { .. }));
             agent.leaving_since = match (leaving, agent.leaving_since) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Hosts that have left long enough to have nothing in flight; a spare host never had any.
+    /// Leaving hosts with no request in flight. Hosts of a pool without services never have any.
     pub(super) fn drained(&self, now: Time, fleet: &Fleet) -> BTreeSet<HostName> {
         let idle = |name: &HostName| {
             let pool = fleet.hosts.get(name).map(|host| &host.pool);
@@ -201,20 +202,20 @@
     pub(super) fn break_reboots(&mut self, hosts: &[HostName]) {
         for host in hosts {
             if let Some(agent) = self.agents.get_mut(host) {
-                agent.broken = true;
+                agent.reboots_broken = true;
             }
         }
     }
 
-    /// What all hosts of the document draw in truth.
-    pub(super) fn drawn(&self, fleet: &Fleet) -> Watts {
+    /// The actual power draw of all hosts of the document.
+    pub(super) fn power_draw(&self, fleet: &Fleet) -> Watts {
         let known = self.agents.iter().filter(|(name, _)| fleet.hosts.contains_key(*name));
-        known.map(|(_, agent)| Watts(agent.draws())).sum()
+        known.map(|(_, agent)| Watts(agent.current_draw())).sum()
     }
 }
 
-/// The times of a host follow from the seed and its name alone, so that two runs with the same
-/// seed compare like with like, whatever is asked of the host and when.
+/// Derives the drain and reboot times of a host from the seed and its name alone, so that runs with
+/// the same seed are comparable, whatever commands the host gets and when.
 fn make_agent(name: &HostName, draw: Draw, seed: u64) -> Agent {
     let mut hasher = rustc_hash::FxHasher::default();
     (seed, name.as_str()).hash(&mut hasher);
@@ -223,12 +224,12 @@
     Agent {
         drain: Duration::from_secs_f64(drain),
         reboot: Duration::from_secs(rng.u64(REBOOT_SECONDS)),
-        broken: false,
+        reboots_broken: false,
         draw,
         power: Power::Up,
-        limited: false,
-        limit_change: None,
-        seen: BTreeSet::new(),
+        is_throttled: false,
+        throttle_change: None,
+        executed: BTreeSet::new(),
         done: None,
         leaving_since: None,
         silent_since: None,
--- a/crates/borageswitch_planner/src/model/mod.rs
+++ b/crates/borageswitch_planner/src/model/mod.rs
@@ -1,10 +1,10 @@
-//! A region in virtual time, on which ways to run a wave are compared.
+//! A simulation of a region in virtual time, used to compare rollout strategies.
 //!
-//! Hosts drain, reboot and come back after times that depend on the seed and the host's name
-//! alone, so that two ways see the same region. Nothing is measured against a clock. The model is
-//! small on purpose: one daemon, a store that always answers, agents that do what they are told.
-//! What it asserts at every step is what must hold: every planned step is accepted and breaks no
-//! promise, and hosts never draw more than is reserved.
+//! Drain and reboot times depend only on the seed and the host's name, so that two strategies see
+//! the same region. No real clock is read. The model is deliberately small: one daemon, a store
+//! that always responds, and agents that execute every command. At every step it asserts that each
+//! planned step is accepted and violates no availability budget, and that hosts never draw more
+//! power than is reserved.
 
 mod agents;
 pub mod sites;
@@ -31,28 +31,28 @@
     steps::{self, Observed, Step},
 };
 
-/// How far virtual time goes at once.
+/// Virtual time between two ticks.
 const TICK: Duration = Duration::from_secs(2);
-/// A region in which nothing was decided for so long, with no host on its way, stays as it is.
-const CALM_AFTER: Duration = Duration::from_secs(1_800);
-/// The wall clock at the start of a run, so that not-after times are ordinary ones.
+/// A region without any change for this long is considered idle: it will not change any more.
+const IDLE_AFTER: Duration = Duration::from_secs(1_800);
+/// Wall clock at the start of a run, so that `not_after` times have realistic values.
 const WALL_START: u64 = 1_800_000_000_000;
 
-/// A way to run waves.
+/// A rollout strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum RolloutStrategy {
     /// The planner of this crate.
     Planner,
-    /// A simpler way.
+    /// A baseline strategy.
     Baseline(Baseline),
 }
 
-/// What one run has cost.
+/// The costs of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Measures {
-    /// Hosts that serve beyond what promises need, times the seconds that they do.
+    /// Serving hosts that the availability budgets do not need, times the seconds that they serve.
     pub buffer_host_seconds: u64,
-    /// Seconds from the start of the wave to its end.
+    /// Seconds from the start to the end of the wave.
     pub roll_out_seconds: u64,
     /// Hosts that changed pool.
     pub moves: u64,
@@ -60,19 +60,19 @@
     pub rebooted: u64,
     /// Hosts that failed in the wave.
     pub failed: u64,
-    /// The most hosts that were out at once.
+    /// Maximum number of hosts out at once.
     pub most_out: u64,
-    /// Seconds in which some pool could not have kept its promises after the loss of one more
-    /// failure domain, by whatever cause; silent hosts do not count.
+    /// Seconds in which some pool would have missed its availability budget after the loss of one
+    /// more failure domain, for whatever cause. Silent hosts provide no capacity.
     pub broken_seconds: u64,
 }
 
-/// A region in virtual time.
+/// A simulated region in virtual time.
 #[derive(Debug)]
 pub struct Region {
     fleet: Fleet,
     agents: Agents,
-    way: Way,
+    strategy: RolloutStrategy,
     now: Time,
     operations: u64,
     phase_since: BTreeMap<HostName, (u64, Time)>,
@@ -83,13 +83,13 @@
 }
 
 impl Region {
-    /// A region as `fleet` describes it, with hosts whose times follow from `seed`.
-    pub fn new(fleet: Fleet, way: Way, seed: u64) -> Self {
+    /// Creates a region from `fleet`; drain and reboot times of its hosts follow from `seed`.
+    pub fn new(fleet: Fleet, strategy: RolloutStrategy, seed: u64) -> Self {
         let agents = Agents::new(&fleet, seed);
         Self {
             fleet,
             agents,
-            way,
+            strategy,
             now: Time::from_millis(1),
             operations: 0,
             phase_since: BTreeMap::new(),
@@ -100,42 +100,42 @@
         }
     }
 
-    /// The document as it stands.
+    /// The current fleet document.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// What was decided so far, one line a change: seconds since the start, then the reason.
+    /// The log of applied changes, one line each: seconds since the start, then the reason.
     pub fn decisions(&self) -> &[String] {
         &self.decisions
     }
 
-    /// What the run has cost so far.
+    /// The costs of the run so far.
     pub fn measures(&self) -> Measures {
         self.measures
     }
 
-    /// Makes a change as an operator.
+    /// Applies a change in the name of an operator.
     ///
     /// # Errors
     ///
-    /// As [`changes::apply`] refuses it.
-    pub fn operate(&mut self, change: FleetChange, why: &str) -> Result<(), Refusal> {
+    /// Returns the refusal of [`changes::apply`].
+    pub fn apply_operator_change(&mut self, change: FleetChange, why: &str) -> Result<(), Refusal> {
         let author = Author::Operator { name: "operator".into() };
         self.apply(change, why, author)
     }
 
-    /// Makes a host, or all hosts of a rack, silent from now on, or reachable again.
+    /// Makes hosts silent from now on, or reachable again.
     pub fn set_silent(&mut self, hosts: &[HostName], silent: bool) {
         self.agents.set_silent(hosts, silent.then_some(self.now));
     }
 
-    /// Lets every reboot of the hosts fail.
+    /// Makes every later reboot of the hosts fail.
     pub fn break_reboots(&mut self, hosts: &[HostName]) {
         self.agents.break_reboots(hosts);
     }
 
-    /// What the holder of the planner's duty sees now.
+    /// The current observations of the holder of the planner's duty.
     pub fn observed(&self) -> Observed {
         Observed {
             listed_leaving: None,
@@ -154,21 +154,23 @@
         }
     }
 
-    /// Lets one tick pass: hosts go on, then the planner takes its steps.
+    /// Advances the region by one tick: first the hosts, then the planner's steps.
     pub fn tick(&mut self) {
         self.now += TICK;
-        self.agents.go_on(self.now, &self.fleet);
-        self.note();
+        self.agents.advance(self.now, &self.fleet);
+        self.record_timestamps();
         let observed = self.observed();
-        let next = match self.way {
-            Way::Planner => steps::next_steps(&self.fleet, &observed),
-            Way::Baseline(way) => baselines::next_steps(&self.fleet, &observed, way),
+        let next = match self.strategy {
+            RolloutStrategy::Planner => steps::next_steps(&self.fleet, &observed),
+            RolloutStrategy::Baseline(strategy) => {
+                baselines::next_steps(&self.fleet, &observed, strategy)
+            }
         };
         for step in next {
             match step {
                 Step::Change { change, reason } => {
                     let author = Author::Holder { duty: Duty::Planner, fence: Fence(1) };
-                    self.take_step(change, &reason, author);
+                    self.apply_step(change, &reason, author);
                 }
                 Step::Command { host, command } => {
                     let wall = UnixMillis(WALL_START + self.now.as_micros() / 1_000);
@@ -176,11 +178,11 @@
                 }
             }
         }
-        self.check();
-        self.count(TICK);
+        self.check_power();
+        self.accumulate_measures(TICK);
     }
 
-    /// Runs until the wave has ended or `limit` has passed; says whether it ended.
+    /// Runs until the wave has ended or `limit` has passed. Returns whether the wave ended.
     pub fn run_wave(&mut self, wave: &WaveName, limit: Duration) -> bool {
         let start = self.now;
         while self.now.since(start) < limit {
@@ -198,24 +200,24 @@
         false
     }
 
-    /// Runs on until `horizon` after the start of the region, so that two ways that take a
-    /// different time for a wave are charged for their buffer over the same time.
+    /// Runs until `horizon` after the start of the region, so that strategies that need different
+    /// times for a wave are charged for their buffer over the same period.
     ///
-    /// A calm region is not run tick by tick: its buffer is as large at the end as now.
+    /// An idle region is not simulated tick by tick, since its buffer no longer changes.
     pub fn run_until(&mut self, horizon: Duration) {
         let end = Time::from_millis(1) + horizon;
-        while self.now < end && self.changed_since(CALM_AFTER) {
+        while self.now < end && self.changed_within(IDLE_AFTER) {
             self.tick();
         }
-        self.count(end.since(self.now));
+        self.accumulate_measures(end.since(self.now));
         self.now = self.now.max(end);
     }
 
-    fn changed_since(&self, time: Duration) -> bool {
+    fn changed_within(&self, time: Duration) -> bool {
         self.now.since(self.last_change) < time
     }
 
-    /// Lets time pass.
+    /// Runs the region for `time`.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -223,26 +225,27 @@
         }
     }
 
-    /// Starts a wave over every host.
+    /// Starts a wave over all hosts.
     pub fn start_wave(&mut self, wave: &WaveName, settings: WaveSettings) {
         let start = FleetChange::StartWave { wave: wave.clone(), hosts: Vec::new(), settings };
-        let started = self.operate(start, "maintenance of all hosts");
+        let started = self.apply_operator_change(start, "maintenance of all hosts");
         assert_eq!(started, Ok(()), "the wave is refused");
     }
 
-    /// Applies a change of the planner, which must be accepted and break no promise.
-    fn take_step(&mut self, change: FleetChange, why: &str, author: Author) {
+    /// Applies a change of the planner and asserts that it is accepted and violates no availability
+    /// budget.
+    fn apply_step(&mut self, change: FleetChange, why: &str, author: Author) {
         let forced = matches!(change, FleetChange::FailHost { .. } | FleetChange::ParkHost { .. });
-        let host = explain::subject(&change).and_then(|host| self.fleet.hosts.get(host));
+        let host = explain::changed_host(&change).and_then(|host| self.fleet.hosts.get(host));
         let pool = host.map(|host| host.pool.clone());
-        let kept = |fleet: &Fleet| {
+        let meets_budgets = |fleet: &Fleet| {
             pool.as_ref().is_none_or(|pool| capacity::check_budgets(fleet, pool, &[]).is_ok())
         };
-        let before = kept(&self.fleet);
+        let before = meets_budgets(&self.fleet);
         if let Err(refusal) = self.apply(change.clone(), why, author) {
             panic!("{change:?} was planned but refused: {refusal}");
         }
-        let broken = before && !kept(&self.fleet);
+        let broken = before && !meets_budgets(&self.fleet);
         assert!(forced || !broken, "{change:?} broke a promise in {pool:?}");
     }
 
@@ -268,7 +271,7 @@
         self.fleet.hosts.values().map(|host| host.pool.clone()).collect()
     }
 
-    fn note(&mut self) {
+    fn record_timestamps(&mut self) {
         for (name, host) in &self.fleet.hosts {
             let since = self.phase_since.entry(name.clone()).or_insert((host.epoch, self.now));
             if since.0 != host.epoch {
@@ -284,14 +287,17 @@
         }
     }
 
-    /// Asserts that no host draws what was not reserved for it.
-    fn check(&self) {
+    /// Asserts that hosts draw no more power than is reserved.
+    fn check_power(&self) {
         let reserved = self.fleet.reserved_power();
-        let drawn = self.drawn();
-        assert!(drawn <= reserved, "hosts draw {drawn}, but only {reserved} are reserved");
+        let power_draw = self.power_draw();
+        assert!(
+            power_draw <= reserved,
+            "hosts draw {power_draw}, but only {reserved} are reserved"
+        );
     }
 
-    fn count(&mut self, time: Duration) {
+    fn accumulate_measures(&mut self, time: Duration) {
         let mut ledger = Ledger::new(&self.fleet, |name| !self.agents.is_silent(name));
         let idle: usize = self
             .fleet
@@ -310,8 +316,8 @@
         self.measures.failed = waves.map(|wave| wave.failed.len() as u64).sum();
     }
 
-    /// What hosts draw in truth.
-    pub fn drawn(&self) -> Watts {
-        self.agents.drawn(&self.fleet)
+    /// The actual power draw of all hosts.
+    pub fn power_draw(&self) -> Watts {
+        self.agents.power_draw(&self.fleet)
     }
 }
--- a/crates/borageswitch_planner/src/model/sites.rs
+++ b/crates/borageswitch_planner/src/model/sites.rs
@@ -1,4 +1,4 @@
-//! The users' sites as fleet documents, and regions of any size for slopes.
+//! Fleet documents of the users' sites, and regions of any size for scaling measurements.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -16,16 +16,16 @@
 
 use crate::changes;
 
-/// Hosts a rack.
-const RACK_HOSTS: usize = 4;
-/// Requests that a host runs at once.
-const SLOTS: u16 = 8;
-/// Connections that a host takes.
-const CONNECTIONS: u16 = 64;
-/// The pool of spare hosts.
+/// Hosts per rack.
+const HOSTS_PER_RACK: usize = 4;
+/// Concurrent requests per host.
+const SLOTS_PER_HOST: u16 = 8;
+/// Maximum number of connections per host.
+const CONNECTIONS_PER_HOST: u16 = 64;
+/// Name of the pool of spare hosts.
 pub const SPARE_POOL: &str = "spare";
 
-/// What differs between the sites.
+/// Parameters of a simulated site.
 #[derive(Clone, Debug)]
 pub struct SiteShape {
     /// The region's name.
@@ -34,16 +34,16 @@
     pub data_centres: Vec<String>,
     /// The pools, each with one service of the same name.
     pub pools: Vec<String>,
-    /// Hosts that a pool needs to keep its promise after the loss of a rack.
+    /// Hosts that a pool needs to meet its availability budget after the loss of a rack.
     pub needed: usize,
-    /// Hosts in each pool beyond those needed.
+    /// Additional hosts in each pool.
     pub reserve: usize,
     /// Hosts in the spare pool.
     pub spare: usize,
-    /// What a host draws.
+    /// Power draw of a host.
     pub draw: Draw,
-    /// How many hosts may boot at once under the cap.
-    pub boots: u64,
+    /// Hosts that can boot at once under the power cap.
+    pub concurrent_boots: u64,
 }
 
 fn names(names: &[&str]) -> Vec<String> {
@@ -60,7 +60,7 @@
         reserve,
         spare,
         draw: Draw { peak: Watts(1_800), throttled: Watts(1_100), boot: Watts(2_200) },
-        boots: 12,
+        concurrent_boots: 12,
     }
 }
 
@@ -74,11 +74,11 @@
         reserve,
         spare,
         draw: Draw { peak: Watts(450), throttled: Watts(280), boot: Watts(550) },
-        boots: 12,
+        concurrent_boots: 12,
     }
 }
 
-/// A region with as many hosts and pools as given, for slopes.
+/// A region with the given number of hosts and pools, for scaling measurements.
 pub fn region_of(hosts: usize, pools: usize) -> SiteShape {
     let needed = (hosts / pools).saturating_sub(1).max(2);
     SiteShape {
@@ -89,16 +89,16 @@
         reserve: 1,
         spare: hosts.saturating_sub((needed + 1) * pools),
         draw: Draw { peak: Watts(900), throttled: Watts(600), boot: Watts(1_100) },
-        boots: 64,
+        concurrent_boots: 64,
     }
 }
 
-/// The weights by which each user judges.
+/// Planner weights for buffer cost, rollout time and moves.
 pub fn weights(buffer_cost: u32, roll_out_time: u32, moves: u32) -> WaveWeights {
     WaveWeights { buffer_cost, roll_out_time, moves }
 }
 
-/// A wave as both sites run it.
+/// The wave settings that both sites use.
 pub fn wave_settings(weights: WaveWeights) -> WaveSettings {
     WaveSettings {
         canaries: 1,
@@ -115,11 +115,11 @@
         self.pools.len() * (self.needed + self.reserve) + self.spare
     }
 
-    /// The document of the site.
+    /// Builds the fleet document of the site.
     ///
     /// # Panics
     ///
-    /// If the shape makes no site that would be accepted.
+    /// If the site that results from the shape is refused.
     pub fn fleet(&self) -> Fleet {
         let mut fleet = Fleet::empty(RegionName::from(self.region));
         let req = ChangeRequest {
@@ -135,30 +135,30 @@
         fleet
     }
 
-    /// What operators would declare for the site.
+    /// The site configuration that operators would declare.
     pub fn config(&self) -> SiteConfig {
         let hosts = self.hosts();
         let surge = self.draw.boot.0 - self.draw.peak.0;
         let mut site = SiteConfig {
             entries_expected: 9,
-            power_cap: Watts(hosts as u64 * self.draw.peak.0 + self.boots * surge),
+            power_cap: Watts(hosts as u64 * self.draw.peak.0 + self.concurrent_boots * surge),
             ..SiteConfig::default()
         };
-        for (at, name) in self.pools.iter().enumerate() {
+        for (index, name) in self.pools.iter().enumerate() {
             let pool = PoolName::from(name.as_str());
             let spec = Pool {
                 wanted_hosts: (self.needed + self.reserve) as u32,
                 spare: false,
-                priority: (self.pools.len() - at).min(200) as u8,
+                priority: (self.pools.len() - index).min(200) as u8,
             };
             site.pools.insert(pool.clone(), spec);
             site.services.insert(ServiceName::from(name.as_str()), self.service(pool));
         }
         let spares = Pool { wanted_hosts: self.spare as u32, spare: true, priority: 0 };
         site.pools.insert(PoolName::from(SPARE_POOL), spares);
-        for at in 0..hosts {
-            let (name, spec) = self.host(at);
-            site.hosts.insert(name, (spec, self.pool_of(at)));
+        for index in 0..hosts {
+            let (name, spec) = self.host(index);
+            site.hosts.insert(name, (spec, self.pool_of(index)));
         }
         site
     }
@@ -166,26 +166,26 @@
     fn service(&self, pool: PoolName) -> Service {
         Service {
             pool,
-            promised_slots: (self.needed as u32 - 1) * u32::from(SLOTS),
+            promised_slots: (self.needed as u32 - 1) * u32::from(SLOTS_PER_HOST),
             survives: FailureDomain::Rack,
             limits: ServiceLimits::default(),
         }
     }
 
-    /// Hosts are dealt to pools in turn, so that a rack holds one host of a pool at the most while
-    /// there are as many pools as hosts in a rack.
-    fn pool_of(&self, at: usize) -> PoolName {
+    /// Assigns hosts to pools round-robin, so that a rack holds at most one host of a pool as long
+    /// as there are at least as many pools as hosts in a rack.
+    fn pool_of(&self, index: usize) -> PoolName {
         let serving = self.pools.len() * (self.needed + self.reserve);
-        if at >= serving {
+        if index >= serving {
             return PoolName::from(SPARE_POOL);
         }
-        PoolName::from(self.pools[at % self.pools.len()].as_str())
+        PoolName::from(self.pools[index % self.pools.len()].as_str())
     }
 
-    fn host(&self, at: usize) -> (HostName, HostSpec) {
-        let rack = at / RACK_HOSTS;
+    fn host(&self, index: usize) -> (HostName, HostSpec) {
+        let rack = index / HOSTS_PER_RACK;
         let data_centre = &self.data_centres[rack % self.data_centres.len()];
-        let address = Ipv4Addr::from(0x0a00_0000 + at as u32 + 1);
+        let address = Ipv4Addr::from(0x0a00_0000 + index as u32 + 1);
         let spec = HostSpec {
             data_centre: DataCentreName::from(data_centre.as_str()),
             rack: RackName::from(format!("r{rack:02}")),
@@ -193,10 +193,10 @@
                 target: SocketAddr::from((address, 8_000)),
                 agent: SocketAddr::from((address, 9_000)),
             },
-            slots: SLOTS,
-            connections: CONNECTIONS,
+            slots: SLOTS_PER_HOST,
+            connections: CONNECTIONS_PER_HOST,
             draw: self.draw,
         };
-        (HostName::from(format!("h{at:04}")), spec)
+        (HostName::from(format!("h{index:04}")), spec)
     }
 }
--- a/crates/borageswitch_planner/src/steps/hosts.rs
+++ b/crates/borageswitch_planner/src/steps/hosts.rs
@@ -1,9 +1,8 @@
-//! Carries each host on: drained, rebooted, back, on trial, failed, restarted.
+//! Advances each host through its lifecycle: drained, rebooted, back, on trial, failed, restarted.
 //!
-//! Load pattern: single hosts fail all day, and racks and data centres fail at once. Without the
-//! limits here a lost rack would have its hosts written off one by one, a fault of a service
-//! would have all hosts of its pool written off, and a host that breaks at each start would be
-//! started for ever.
+//! Single hosts fail all day, and racks and data centres fail as a whole. Without the limits here,
+//! the hosts of a lost rack would be failed one by one, a fault of a service would fail all hosts
+//! of its pool, and a host that breaks at each start would be restarted for ever.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,25 +17,26 @@
 
 /// How long after its decision a reboot may still begin.
 pub(crate) const REBOOT_VALIDITY: Duration = Duration::from_secs(60);
-/// By how much the wall clocks of two hosts may differ.
+/// Maximum difference between the wall clocks of two hosts.
 pub(crate) const CLOCK_MARGIN: Duration = Duration::from_secs(10);
-/// How long a start may take before the host counts as failed.
+/// A host whose start takes longer counts as failed.
 pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(600);
-/// A host that was silent for this long counts as failed.
+/// A host that has been silent for this long counts as failed.
 pub(crate) const FAIL_AFTER: Duration = Duration::from_secs(120);
-/// The hosts of a rack that is silent as a whole count as failed after this time.
+/// The hosts of a completely silent rack count as failed after this time.
 pub(crate) const RACK_FAIL_AFTER: Duration = Duration::from_secs(1_800);
-/// A failed host that can be reached is restarted after this time.
+/// Delay before a reachable failed host is restarted.
 pub(crate) const RESTART_AFTER: Duration = Duration::from_secs(60);
-/// After so many failures in a row a host stays out until an operator releases it.
+/// A host with more consecutive failures stays out of service until an operator releases it.
 pub(crate) const MAX_RESTARTS: u16 = 2;
-/// Readings of a host's draw are at most so old.
+/// Maximum age of a power reading.
 pub(crate) const READING_LAG: Duration = Duration::from_secs(10);
-/// If more than one in so many hosts of a pool fail their work, the fault lies not with the hosts.
-const FAILING_SHARE: usize = 3;
+/// If more than one in this many hosts of a pool fail their requests, the cause is assumed to be
+/// the service rather than the hosts.
+const FAILING_HOSTS_DIVISOR: usize = 3;
 
-/// How many hosts fail together, counted once a plan.
-struct Faults<'a> {
+/// Counts of faulty hosts and of all hosts per rack and pool, computed once per plan.
+struct FaultCounts<'a> {
     racks: BTreeMap<(&'a DataCentreName, &'a RackName), (usize, usize)>,
     failing: BTreeMap<&'a PoolName, (usize, usize)>,
 }
@@ -51,23 +51,25 @@
             HostPhase::Leaving { why } if plan.observed.drained.contains(name) => {
                 finish_leave(plan, name, host, why);
             }
-            HostPhase::Serving | HostPhase::Leaving { .. } => watch(plan, name, host, &faults),
+            HostPhase::Serving | HostPhase::Leaving { .. } => {
+                check_serving(plan, name, host, &faults)
+            }
             HostPhase::Rebooting { wave, operation, not_after } => {
                 let timeout = reboot_timeout(plan, wave);
-                reboot(plan, name, host, operation, *not_after, timeout);
+                advance_boot(plan, name, host, operation, *not_after, timeout);
             }
             HostPhase::Starting { operation, not_after } => {
-                reboot(plan, name, host, operation, *not_after, START_TIMEOUT);
+                advance_boot(plan, name, host, operation, *not_after, START_TIMEOUT);
             }
-            HostPhase::Trial { wave } => trial(plan, name, host, wave),
+            HostPhase::Trial { wave } => check_trial(plan, name, host, wave),
             HostPhase::Failed { .. } => restart(plan, name, host),
             HostPhase::Held { .. } | HostPhase::Parked => {}
         }
     }
 }
 
-fn count_faults<'a>(plan: &Plan<'a>) -> Faults<'a> {
-    let mut faults = Faults { racks: BTreeMap::new(), failing: BTreeMap::new() };
+fn count_faults<'a>(plan: &Plan<'a>) -> FaultCounts<'a> {
+    let mut faults = FaultCounts { racks: BTreeMap::new(), failing: BTreeMap::new() };
     for (name, host) in &plan.fleet.hosts {
         let rack = faults.racks.entry((&host.spec.data_centre, &host.spec.rack)).or_default();
         rack.0 += usize::from(!plan.observed.unreachable_for(name).is_zero());
@@ -90,12 +92,12 @@
         LeaveReason::Hold { .. } => format!("{name} is drained and held"),
         LeaveReason::Power => format!("{name} is drained and switched off"),
         LeaveReason::Wave { wave } => {
-            // A wave that halts in this plan has its leaving hosts back: what broke the last
-            // hosts would break this one.
-            let stops = plan.fleet.waves.get(wave).is_none_or(|wave| !waves::may_reboot(wave));
-            // The boot surge was set aside when the host began to leave; a cap lowered since then
-            // makes the drained host wait here, where it waits for watts and cuts nothing.
-            if stops || !plan.power.spend_surge(host) {
+            // A wave that halts in this plan gets its leaving hosts back, since the cause of the
+            // last failures would probably fail this host too.
+            let wave_stops = plan.fleet.waves.get(wave).is_none_or(|wave| !waves::may_reboot(wave));
+            // The boot surge was earmarked when the host began to leave. If the cap was lowered
+            // since then, the drained host waits here for power, where it cuts no requests.
+            if wave_stops || !plan.power.reserve_surge(host) {
                 return;
             }
             format!("{name} is drained and reboots for {wave}")
@@ -108,35 +110,41 @@
     UnixMillis(wall.0 + REBOOT_VALIDITY.as_millis() as u64)
 }
 
-/// Writes a serving host off once it is surely gone, unless more than hosts has failed.
-fn watch<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, faults: &Faults<'a>) {
-    let limit = if is_rack_lost(host, faults) { RACK_FAIL_AFTER } else { FAIL_AFTER };
+/// Fails a serving host that is lost, unless the fault affects more than single hosts.
+fn check_serving<'a>(
+    plan: &mut Plan<'a>,
+    name: &'a HostName,
+    host: &'a Host,
+    faults: &FaultCounts<'a>,
+) {
+    let limit = if is_rack_silent(host, faults) { RACK_FAIL_AFTER } else { FAIL_AFTER };
     if plan.observed.unreachable_for(name) >= limit {
         let why = format!("{name} could not be reached for {} s", limit.as_secs());
-        return fail(plan, name, host, why);
+        return plan_failure(plan, name, host, why);
     }
-    let Some(seen) = plan.observed.failing.get(name) else { return };
+    let Some(symptom) = plan.observed.failing.get(name) else { return };
     let (failing, all) = faults.failing.get(&host.pool).copied().unwrap_or_default();
-    if failing == 1 || failing * FAILING_SHARE <= all {
-        let why = format!("{name} fails what it is given: {seen}");
-        fail(plan, name, host, why);
+    if failing == 1 || failing * FAILING_HOSTS_DIVISOR <= all {
+        let why = format!("{name} fails what it is given: {symptom}");
+        plan_failure(plan, name, host, why);
     }
 }
 
-/// Whether every host of the rack is silent: then a switch or the power of the rack is gone, and
-/// the hosts will most likely be back together: they are replaced, but written off much later.
-fn is_rack_lost(host: &Host, faults: &Faults<'_>) -> bool {
+/// Whether every host of the rack is silent. The likely cause is a switch or the rack's power
+/// supply, and the hosts will probably return together; they are replaced, but fail much later than
+/// single hosts.
+fn is_rack_silent(host: &Host, faults: &FaultCounts<'_>) -> bool {
     let rack = (&host.spec.data_centre, &host.spec.rack);
     let (silent, all) = faults.racks.get(&rack).copied().unwrap_or_default();
     all > 1 && silent == all
 }
 
-fn fail<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, why: String) {
+fn plan_failure<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, why: String) {
     let change = FleetChange::FailHost { host: name.clone(), reason: why.as_str().into() };
     plan.change_host(name, host, change, why);
 }
 
-fn reboot<'a>(
+fn advance_boot<'a>(
     plan: &mut Plan<'a>,
     name: &'a HostName,
     host: &'a Host,
@@ -150,54 +158,57 @@
     let expired = observed.wall.0 > not_after.0 + CLOCK_MARGIN.as_millis() as u64;
     if ready && began {
         let back = FleetChange::HostBack { host: name.clone(), operation: operation.clone() };
-        plan.touch(name);
-        plan.change(back, format!("{name} is back after its reboot"));
+        plan.mark_changed(name);
+        plan.add_change(back, format!("{name} is back after its reboot"));
     } else if observed.in_phase_for(name) >= timeout {
         let why = format!("{name} did not come back within {} s", timeout.as_secs());
-        fail(plan, name, host, why);
+        plan_failure(plan, name, host, why);
     } else if !expired {
         let command = AgentCommand::Reboot { operation: operation.clone(), not_after };
-        plan.command(name, command);
+        plan.add_command(name, command);
     } else if ready {
-        // The agent answers but never began, and refuses to begin by now: the command was lost on
-        // its way. Without a new one the host would wait here until its timeout.
+        // The agent is ready but never began the reboot and now refuses to, so the command was
+        // lost. Without a new command the host would wait until its timeout.
         let not_after = valid_until(observed.wall);
         let renew = FleetChange::RenewReboot { host: name.clone(), not_after };
-        plan.touch(name);
-        plan.change(renew, format!("{name} never got the command to reboot, which is asked again"));
+        plan.mark_changed(name);
+        plan.add_change(
+            renew,
+            format!("{name} never got the command to reboot, which is asked again"),
+        );
     } else {
-        plan.command(name, AgentCommand::Status);
+        plan.add_command(name, AgentCommand::Status);
     }
 }
 
-fn trial<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, wave: &'a WaveName) {
+fn check_trial<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, wave: &'a WaveName) {
     let Some(record) = plan.fleet.waves.get(wave) else { return };
     let observed = plan.observed;
-    if let Some(seen) = observed.failing.get(name) {
-        return fail(plan, name, host, format!("{name} failed its trial: {seen}"));
+    if let Some(symptom) = observed.failing.get(name) {
+        return plan_failure(plan, name, host, format!("{name} failed its trial: {symptom}"));
     }
     let silent = observed.unreachable_for(name);
     if silent >= record.settings.trial.max(FAIL_AFTER) {
-        return fail(plan, name, host, format!("{name} went silent on trial"));
+        return plan_failure(plan, name, host, format!("{name} went silent on trial"));
     }
     let ready = observed.agents.get(name).is_none_or(|status| status.ready);
     if !ready || !silent.is_zero() {
-        plan.command(name, AgentCommand::Status);
+        plan.add_command(name, AgentCommand::Status);
         if observed.in_phase_for(name) >= record.settings.trial + record.settings.reboot_timeout {
-            fail(plan, name, host, format!("{name} was not ready at the end of its trial"));
+            plan_failure(plan, name, host, format!("{name} was not ready at the end of its trial"));
         }
         return;
     }
     if observed.in_phase_for(name) >= record.settings.trial {
-        plan.touch(name);
-        plan.change(
+        plan.mark_changed(name);
+        plan.add_change(
             FleetChange::PassTrial { host: name.clone() },
             format!("{name} did well on trial"),
         );
     }
 }
 
-/// Restarts a failed host that can be reached again, a few times.
+/// Restarts a failed host that is reachable again, up to [`MAX_RESTARTS`] times in a row.
 fn restart<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host) {
     let observed = plan.observed;
     let too_soon = observed.in_phase_for(name) < RESTART_AFTER;
@@ -207,63 +218,64 @@
         return;
     }
     if !observed.agents.get(name).is_some_and(|status| status.ready) {
-        return plan.command(name, AgentCommand::Status);
+        return plan.add_command(name, AgentCommand::Status);
     }
-    if plan.power.spend_start(host) {
+    if plan.power.reserve_start(host) {
         let not_after = valid_until(observed.wall);
         let start = FleetChange::StartHost { host: name.clone(), not_after };
         let why = format!("{name} answers again after failure {} and is restarted", host.failures);
-        plan.touch(name);
-        plan.change(start, why);
+        plan.mark_changed(name);
+        plan.add_change(start, why);
     }
 }
 
-/// Repeats the command that the host's power state waits for, or confirms it.
+/// Confirms the power state that the host is changing to, or repeats the command for it.
 fn plan_power_state<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host) {
     match &host.power {
-        HostPower::Throttling { operation } => throttle(plan, name, host, operation),
+        HostPower::Throttling { operation } => advance_throttle(plan, name, host, operation),
         HostPower::Lifting { operation } if plan.observed.has_done(name, operation) => {
             let confirm =
                 FleetChange::ConfirmThrottle { host: name.clone(), operation: operation.clone() };
-            plan.change(confirm, format!("{name} runs unthrottled again"));
+            plan.add_change(confirm, format!("{name} runs unthrottled again"));
         }
         HostPower::Lifting { operation } => {
             let operation = operation.clone();
-            plan.command(name, AgentCommand::Throttle { operation, limit_watts: None });
+            plan.add_command(name, AgentCommand::Throttle { operation, limit_watts: None });
         }
         HostPower::SwitchingOff { operation, .. } => {
-            let off = plan.observed.has_done(name, operation)
+            let is_off = plan.observed.has_done(name, operation)
                 && plan.observed.agents.get(name).is_some_and(|status| !status.ready);
-            if off {
+            if is_off {
                 let confirm = FleetChange::ConfirmOff { host: name.clone() };
-                return plan.change(confirm, format!("{name} is off"));
+                return plan.add_change(confirm, format!("{name} is off"));
             }
-            plan.command(name, AgentCommand::PowerOff { operation: operation.clone() });
+            plan.add_command(name, AgentCommand::PowerOff { operation: operation.clone() });
         }
-        HostPower::Throttled => throttle_again(plan, name, host),
+        HostPower::Throttled => restore_lost_throttle(plan, name, host),
         HostPower::Full | HostPower::Surging | HostPower::Off => {}
     }
 }
 
-/// Repeats a throttle that a host has lost, for instance by a reboot of its own.
+/// Repeats a throttle that a host has lost, for example in an unplanned reboot.
 ///
-/// A throttle counts only after a reading has shown it, so a later reading above it means that it
-/// is gone, and the site draws watts that may have been given to another host. The command lowers
-/// the draw and nothing else, so it needs no intent in the document; its id changes once a minute,
-/// or an agent that remembers the last one would do nothing.
-fn throttle_again<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host) {
+/// A throttle is confirmed only after a reading has shown it, so a later reading above the limit
+/// means that the throttle is lost and the site draws power that may be reserved for another host.
+/// The command only lowers the draw, so the document need not record the intent. Its operation id
+/// changes once a minute, because an agent ignores an id that it has already executed.
+fn restore_lost_throttle<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host) {
     let limit = host.spec.draw.throttled.0;
     let lost = plan.observed.agents.get(name).is_some_and(|status| status.draw_watts > limit);
     if lost {
         let minute = plan.observed.wall.0 / 60_000;
         let operation = OperationId::from(format!("throttle-{name}-{minute}"));
-        plan.command(name, AgentCommand::Throttle { operation, limit_watts: Some(limit) });
+        plan.add_command(name, AgentCommand::Throttle { operation, limit_watts: Some(limit) });
     }
 }
 
-/// A throttle counts once the agent has confirmed it, the readings can show it, and they do: the
-/// reading of a moment ago may still be one from before the throttle.
-fn throttle<'a>(
+/// Confirms a throttle once the agent has reported it, that report is older than the readings' lag,
+/// and the reading is within the limit: a more recent reading may still date from before the
+/// throttle.
+fn advance_throttle<'a>(
     plan: &mut Plan<'a>,
     name: &'a HostName,
     host: &'a Host,
@@ -278,9 +290,9 @@
     if settled && low && observed.has_done(name, operation) {
         let confirm =
             FleetChange::ConfirmThrottle { host: name.clone(), operation: operation.clone() };
-        return plan.change(confirm, format!("{name} is throttled to {limit} W"));
+        return plan.add_change(confirm, format!("{name} is throttled to {limit} W"));
     }
-    // Repeated even when it is done: the answer carries the next reading.
+    // Repeated even if it is done, because the response carries the next reading.
     let operation = operation.clone();
-    plan.command(name, AgentCommand::Throttle { operation, limit_watts: Some(limit) });
+    plan.add_command(name, AgentCommand::Throttle { operation, limit_watts: Some(limit) });
 }
--- a/crates/borageswitch_planner/src/steps/mod.rs
+++ b/crates/borageswitch_planner/src/steps/mod.rs
@@ -1,21 +1,20 @@
-//! The steps that the holder of the planner's duty should take now.
+//! Computes the steps that the holder of the planner's duty should take now.
 //!
-//! [`next_steps`] keeps nothing between two calls. It reads the document, which holds what was
-//! decided, and [`Observed`], which holds what was seen, and names the steps that follow; so a
-//! holder that has just taken over goes on where the last one was stopped, at any state of any
-//! host.
+//! [`next_steps`] is stateless. It derives the steps from the document, which holds all decisions,
+//! and from [`Observed`], which holds the observations. After a takeover, the new holder can
+//! therefore continue from any state of any host.
 //!
-//! - [`hosts`] carries each host on: drained, rebooted, back, on trial, failed, restarted.
-//! - [`power`] brings the reservation under a lowered cap and gives watts back.
-//! - [`waves`] chooses which hosts go out next.
-//! - [`moves`] replaces failed hosts, fills pools up and lends spare hosts to a wave.
+//! - [`hosts`] advances each host through drain, reboot, return, trial, failure and restart.
+//! - [`power`] reduces the reservation below a lowered cap and restores power later.
+//! - [`waves`] chooses which hosts leave next.
+//! - [`moves`] replaces failed hosts, fills pools and lends spare hosts to a wave.
 //!
-//! The steps of one call can be taken in their order, all or only the first few: each later one
-//! reckons with those before it.
+//! The steps of one call must be taken in order. Each step accounts for those before it, so a
+//! caller may also stop after any of them.
 
 pub(crate) mod hosts;
-mod listing;
 pub(crate) mod moves;
+mod platform_list;
 pub(crate) mod power;
 pub(crate) mod waves;
 
@@ -35,69 +34,69 @@
     time::UnixMillis,
 };
 
-use crate::{capacity::Ledger, steps::power::Budget};
+use crate::{capacity::Ledger, steps::power::PowerBudget};
 
-/// A host that was silent for less counts as usable: connections are also lost by short faults of
-/// the network, and a move for each would be thrash.
+/// A host that has been silent for less time than this counts as usable. Short network faults also
+/// break connections, and a move for each would cause thrashing.
 pub const UNREACHABLE_AFTER: Duration = Duration::from_secs(5);
 
-/// What the holder knows beyond the document.
+/// Observations of the holder beyond the document.
 #[derive(Clone, Debug, Default)]
 pub struct Observed {
-    /// Now, on the holder's monotonic clock.
+    /// Current time of the holder's monotonic clock.
     pub now: Time,
-    /// Now, on the holder's wall clock.
+    /// Current time of the holder's wall clock.
     pub wall: UnixMillis,
-    /// Leaving hosts on which every live daemon has confirmed that nothing is in flight.
+    /// Leaving hosts for which every live daemon has confirmed that no request is in flight.
     pub drained: BTreeSet<HostName>,
-    /// The newest status of each host that was asked.
+    /// The latest status of each host whose agent was queried.
     pub agents: BTreeMap<HostName, AgentStatus>,
-    /// Since when each host has been in its phase, as this holder first saw it.
+    /// When this holder first saw each host in its current phase.
     pub phase_since: BTreeMap<HostName, Time>,
-    /// The command that each host's agent last reported as done, and since when this holder has
-    /// known it.
+    /// The command that each host's agent last reported as done, and when this holder first saw
+    /// that report.
     pub done_since: BTreeMap<HostName, (OperationId, Time)>,
-    /// Hosts of which neither target nor agent can be reached, and since when.
+    /// Hosts whose target and agent are both unreachable, and since when.
     pub unreachable_since: BTreeMap<HostName, Time>,
-    /// Hosts that the platform's list shows as leaving; nothing until a list was read.
+    /// Hosts that the platform's list shows as leaving; `None` until a list was read.
     pub listed_leaving: Option<BTreeSet<HostName>>,
-    /// Hosts that fail nearly everything they are given, with what was seen.
+    /// Hosts that fail nearly all of their requests, with the observed symptom.
     pub failing: BTreeMap<HostName, Reason>,
 }
 
 impl Observed {
-    /// How long a host has been in its phase, as far as this holder knows.
+    /// How long a host has been in its current phase, as observed by this holder.
     pub fn in_phase_for(&self, host: &HostName) -> Duration {
         self.phase_since.get(host).map_or(Duration::ZERO, |since| self.now.since(*since))
     }
 
-    /// How long a host could not be reached.
+    /// How long a host has been unreachable.
     pub fn unreachable_for(&self, host: &HostName) -> Duration {
         self.unreachable_since.get(host).map_or(Duration::ZERO, |since| self.now.since(*since))
     }
 
-    /// Whether a host can be counted on: it was reached lately and does not fail its work.
+    /// Whether a host is reachable and does not fail its requests.
     pub fn is_usable(&self, host: &HostName) -> bool {
         self.unreachable_for(host) < UNREACHABLE_AFTER && !self.failing.contains_key(host)
     }
 
-    /// Whether the host's agent has said that it carried `operation` out.
+    /// Whether the host's agent has reported `operation` as done.
     pub fn has_done(&self, host: &HostName, operation: &OperationId) -> bool {
         self.agents.get(host).is_some_and(|status| status.done.as_ref() == Some(operation))
     }
 }
 
-/// One step.
+/// A step of the planner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Change the document.
+    /// Changes the document.
     Change {
         /// The change.
         change: FleetChange,
-        /// Why, in one sentence.
+        /// The reason for the change, in one sentence.
         reason: Reason,
     },
-    /// Command a host's agent; the intent stands in the document already.
+    /// Sends a command to a host's agent. The document already records the intent.
     Command {
         /// The host.
         host: HostName,
@@ -106,14 +105,15 @@
     },
 }
 
-/// A plan in the making: what is known, and what the steps so far leave of capacity and watts.
+/// A plan under construction: its inputs, and the capacity and power that remain after the steps so
+/// far.
 pub(crate) struct Plan<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) observed: &'a Observed,
     pub(crate) ledger: Ledger<'a>,
-    pub(crate) power: Budget,
-    /// Hosts for which this plan has a change already: one change a host and plan.
-    touched: BTreeSet<&'a HostName>,
+    pub(crate) power: PowerBudget,
+    /// Hosts that this plan already changes. A plan contains at most one change per host.
+    changed_hosts: BTreeSet<&'a HostName>,
     commands: Vec<Step>,
     changes: Vec<Step>,
 }
@@ -124,14 +124,14 @@
             fleet,
             observed,
             ledger: Ledger::new(fleet, |host| observed.is_usable(host)),
-            power: Budget::new(fleet),
-            touched: BTreeSet::new(),
+            power: PowerBudget::new(fleet),
+            changed_hosts: BTreeSet::new(),
             commands: Vec::new(),
             changes: Vec::new(),
         }
     }
 
-    /// Plans a change of one host, which counts no more for the rest of the plan.
+    /// Plans a change of a host and stops counting its capacity for the rest of the plan.
     pub(crate) fn change_host(
         &mut self,
         name: &'a HostName,
@@ -139,51 +139,52 @@
         change: FleetChange,
         why: String,
     ) {
-        self.touched.insert(name);
-        self.ledger.take(name, host);
-        self.change(change, why);
+        self.changed_hosts.insert(name);
+        self.ledger.remove_host(name, host);
+        self.add_change(change, why);
     }
 
-    pub(crate) fn change(&mut self, change: FleetChange, why: String) {
+    pub(crate) fn add_change(&mut self, change: FleetChange, why: String) {
         self.changes.push(Step::Change { change, reason: why.into() });
     }
 
-    pub(crate) fn command(&mut self, host: &HostName, command: AgentCommand) {
+    pub(crate) fn add_command(&mut self, host: &HostName, command: AgentCommand) {
         self.commands.push(Step::Command { host: host.clone(), command });
     }
 
-    pub(crate) fn is_touched(&self, host: &HostName) -> bool {
-        self.touched.contains(host)
+    pub(crate) fn is_changed(&self, host: &HostName) -> bool {
+        self.changed_hosts.contains(host)
     }
 
-    /// Notes a change of a host that takes none of its capacity.
-    pub(crate) fn touch(&mut self, host: &'a HostName) {
-        self.touched.insert(host);
+    /// Marks a host as changed without removing its capacity.
+    pub(crate) fn mark_changed(&mut self, host: &'a HostName) {
+        self.changed_hosts.insert(host);
     }
 
-    /// The steps in their order: commands first, since they cost no write and wait for none.
+    /// Returns the steps in order. Commands come first, because they cost no write and depend on no
+    /// change.
     pub(crate) fn into_steps(self) -> Vec<Step> {
         let mut steps = self.commands;
         steps.extend(self.changes);
         steps
     }
 
-    /// Whether the plan may still use a host that serves.
-    pub(crate) fn is_free(&self, name: &HostName, host: &Host) -> bool {
-        host.gives_capacity() && !self.is_touched(name) && self.observed.is_usable(name)
+    /// Whether the plan may still use a serving host.
+    pub(crate) fn is_available(&self, name: &HostName, host: &Host) -> bool {
+        host.gives_capacity() && !self.is_changed(name) && self.observed.is_usable(name)
     }
 }
 
-/// Names the steps to take now, the most urgent first: commands, then changes.
+/// Computes the steps to take now, the most urgent first: commands, then changes.
 pub fn next_steps(fleet: &Fleet, observed: &Observed) -> Vec<Step> {
     let mut plan = Plan::new(fleet, observed);
     hosts::plan(&mut plan);
-    listing::plan(&mut plan);
+    platform_list::plan(&mut plan);
     power::shed(&mut plan);
     waves::plan_endings(&mut plan);
     moves::plan(&mut plan);
     waves::plan_leaves(&mut plan);
-    power::make_room(&mut plan);
-    power::give_back(&mut plan);
+    power::throttle_for_boot_surge(&mut plan);
+    power::restore(&mut plan);
     plan.into_steps()
 }
--- a/crates/borageswitch_planner/src/steps/moves.rs
+++ b/crates/borageswitch_planner/src/steps/moves.rs
@@ -1,20 +1,19 @@
-//! Replaces failed hosts, fills pools up, and lends spare hosts to a wave.
+//! Replaces failed hosts, fills pools, and lends spare hosts to a wave.
 //!
-//! Load pattern: hosts fail every day, a rack every month or two, a data centre a few times a year,
-//! and they come back. Without replacement a pool stays at the edge of its budget until people act;
-//! with replacement at once and without bounds, a data centre that is lost for a minute sends half
-//! the fleet from pool to pool and back.
+//! Hosts fail every day, a rack every month or two, a data centre a few times a year, and they come
+//! back. Without replacement, a pool stays at the limit of its budget until an operator acts. With
+//! immediate and unlimited replacement, the loss of a data centre for a minute would move half of
+//! the fleet between pools and back.
 //!
-//! A pool has as many hosts as its `wanted_hosts`, of those that serve or will serve soon. A pool
-//! that lacks some is given one from a spare pool or from a pool with more than it wants; the pool
-//! whose promises are broken first, then by priority. A pool with more than it wants gives hosts
-//! back to a spare pool once it has been calm for [`GIVE_BACK_AFTER`]. At most
-//! [`MAX_MOVES`] moves are in flight.
+//! A pool should have `wanted_hosts` hosts that serve or will serve soon. A pool with fewer gets
+//! hosts from a spare pool or from a pool with a surplus: pools whose budget is violated come
+//! first, then pools by priority. A pool with a surplus returns hosts to a spare pool once none of
+//! its hosts has changed for [`GIVE_BACK_AFTER`]. At most [`MAX_MOVES`] moves are in flight.
 //!
-//! During a wave a pool that can spare few hosts is lent some, as long as the rounds saved weigh
-//! more than the moves; see [`loan`]. A pool that a wave is through with passes its loans on to the
-//! next one rather than back. A failure in the wave calls a loan off: the pool that lacks a host is
-//! filled first, also from loans.
+//! During a wave, a pool that can spare few hosts is lent some, as long as the rounds saved
+//! outweigh the moves; see [`loan_size`]. When a wave has finished a pool, its loans pass to the
+//! next pool instead of going back. After a failure in the wave, the pool that lacks a host is
+//! filled first, also with lent hosts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,30 +30,31 @@
     waves::{self, Stage},
 };
 
-/// The most moves that the planner has in flight at once.
+/// Maximum number of moves in flight at once.
 pub(crate) const MAX_MOVES: usize = 8;
-/// A host that was silent for this long is replaced.
+/// A host that has been silent for this long is replaced.
 pub(crate) const REPLACE_AFTER: Duration = Duration::from_secs(30);
-/// A pool gives hosts back after none of its hosts has changed its phase for this long.
+/// A pool returns surplus hosts after none of its hosts has changed its phase for this long.
 pub(crate) const GIVE_BACK_AFTER: Duration = Duration::from_secs(120);
-/// One of so many spare hosts is not lent to a wave, so that a host that fails can be replaced at
-/// once. Fewer spare hosts are lent all: on a day 1.5 % of hosts fail, so that in a wave of an
-/// hour over 50 hosts one is missed in one wave of thirty, until the next loan comes free.
-pub(crate) const REPAIR_SHARE: usize = 8;
+/// One in this many spare hosts is not lent to a wave, so that a failed host can be replaced at
+/// once. With fewer spare hosts all are lent: 1.5 % of hosts fail per day, so in a one-hour wave
+/// over 50 hosts a reserve is missing in one wave of thirty, and only until the next loan is
+/// returned.
+pub(crate) const REPAIR_RESERVE_DIVISOR: usize = 8;
 
-/// How a pool stands against what is wanted of it.
+/// The size of a pool compared with its wanted size.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PoolSize {
-    /// Hosts that serve or will serve soon, those on their way to the pool included.
+    /// Hosts that serve or will serve soon, including those moving to the pool.
     pub(crate) members: usize,
-    /// Hosts that should.
+    /// The wanted number of such hosts.
     pub(crate) wanted: usize,
-    /// Whether some host of the pool has changed its phase lately.
-    restless: bool,
+    /// Whether some host of the pool has changed its phase recently.
+    recently_changed: bool,
 }
 
 impl PoolSize {
-    pub(crate) fn lacks(&self) -> usize {
+    pub(crate) fn deficit(&self) -> usize {
         self.wanted.saturating_sub(self.members)
     }
 
@@ -63,7 +63,8 @@
     }
 }
 
-/// Counts every pool. A pool that wants 0 hosts is left as operators arrange it.
+/// Computes the size of every pool. A pool with 0 wanted hosts has no target size and is managed by
+/// operators.
 pub(crate) fn sizes<'a>(plan: &Plan<'a>) -> BTreeMap<&'a PoolName, PoolSize> {
     let mut sizes: BTreeMap<&PoolName, PoolSize> = BTreeMap::new();
     for (name, spec) in &plan.fleet.pools {
@@ -71,7 +72,7 @@
         sizes.insert(name, PoolSize { wanted, ..PoolSize::default() });
     }
     for (name, host) in &plan.fleet.hosts {
-        let (pool, counts) = match &host.phase {
+        let (pool, is_member) = match &host.phase {
             HostPhase::Leaving { why: LeaveReason::Move { to } } => (to, true),
             HostPhase::Serving
             | HostPhase::Leaving { why: LeaveReason::Wave { .. } }
@@ -84,149 +85,158 @@
             | HostPhase::Failed { .. } => (&host.pool, false),
         };
         let Some(size) = sizes.get_mut(pool) else { continue };
-        let gone = plan.observed.unreachable_for(name) >= REPLACE_AFTER;
-        size.members += usize::from(counts && !gone);
-        let calm =
+        let is_lost = plan.observed.unreachable_for(name) >= REPLACE_AFTER;
+        size.members += usize::from(is_member && !is_lost);
+        let is_steady =
             plan.observed.in_phase_for(name) >= GIVE_BACK_AFTER && plan.observed.is_usable(name);
-        size.restless |= !calm;
+        size.recently_changed |= !is_steady;
     }
     sizes
 }
 
-/// A host that a plan may move, and what makes it better or worse than others.
+/// A host that a plan may move, and the properties by which candidates are compared.
 #[derive(Clone, Copy)]
-struct Offer<'a> {
+struct Candidate<'a> {
     name: &'a HostName,
     host: &'a Host,
-    /// Whether a wave still has the host ahead of it: moving it would hold the wave up.
-    awaited: bool,
+    /// Whether the host is pending in a wave, which a move would delay.
+    pending_in_wave: bool,
     spare: bool,
 }
 
 pub(crate) fn plan(plan: &mut Plan<'_>) {
-    let mut mover = Mover::new(plan);
-    mover.fill(plan);
-    mover.lend(plan);
-    mover.give_back(plan);
+    let mut planner = MovePlanner::new(plan);
+    planner.fill_pools(plan);
+    planner.lend_hosts(plan);
+    planner.return_surplus(plan);
 }
 
-/// What a host is moved for.
+/// The purpose of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
-    /// A pool lacks a host.
+enum Purpose {
+    /// Fills a pool that lacks a host.
     Repair,
-    /// A wave would go faster.
+    /// Speeds up a wave.
     Loan,
 }
 
-/// How a wave stands in one pool.
-struct Need<'a> {
+/// The demand of a wave in one pool.
+struct WaveDemand<'a> {
     pool: &'a PoolName,
-    /// Hosts ahead of the wave.
+    /// Hosts that the wave has not taken out yet.
     pending: usize,
-    /// Hosts that the pool could do without at once, of its own.
-    own: usize,
-    /// Hosts that were lent to it.
+    /// Hosts of the pool itself that could be out at once.
+    own_removable: usize,
+    /// Hosts lent to the pool.
     lent: usize,
 }
 
-impl Need<'_> {
+impl WaveDemand<'_> {
     fn rounds(&self) -> usize {
-        match self.own + self.lent {
+        match self.own_removable + self.lent {
             0 => usize::MAX,
             at_once => self.pending.div_ceil(at_once),
         }
     }
 }
 
-struct Mover<'a> {
+struct MovePlanner<'a> {
     sizes: BTreeMap<&'a PoolName, PoolSize>,
-    /// The hosts that waves have left, by pool.
-    left: BTreeMap<&'a PoolName, usize>,
-    awaited: BTreeSet<&'a HostName>,
-    /// The pools in which a wave has hosts ahead of it.
-    ahead: BTreeSet<&'a PoolName>,
-    /// Hosts that could be moved: spare ones, and those of pools with more than they want.
-    offers: Vec<Offer<'a>>,
+    /// Hosts pending in or out for running waves, by pool.
+    wave_hosts: BTreeMap<&'a PoolName, usize>,
+    pending_in_wave: BTreeSet<&'a HostName>,
+    /// Pools with hosts that are pending in a running wave.
+    pools_with_pending: BTreeSet<&'a PoolName>,
+    /// Hosts that could be moved: those of spare pools and of pools with a surplus.
+    candidates: Vec<Candidate<'a>>,
     moves_left: usize,
 }
 
-impl<'a> Mover<'a> {
+impl<'a> MovePlanner<'a> {
     fn new(plan: &Plan<'a>) -> Self {
         let moving = |host: &&Host| {
             matches!(host.phase, HostPhase::Leaving { why: LeaveReason::Move { .. } })
         };
         let in_flight = plan.fleet.hosts.values().filter(moving).count();
         let running = plan.fleet.waves.values().filter(|wave| wave.status == WaveStatus::Running);
-        let mut mover = Self {
+        let mut planner = Self {
             sizes: sizes(plan),
-            left: waves::hosts_left(plan.fleet),
-            awaited: running.flat_map(|wave| &wave.pending).collect(),
-            ahead: BTreeSet::new(),
-            offers: Vec::new(),
+            wave_hosts: waves::remaining_hosts(plan.fleet),
+            pending_in_wave: running.flat_map(|wave| &wave.pending).collect(),
+            pools_with_pending: BTreeSet::new(),
+            candidates: Vec::new(),
             moves_left: MAX_MOVES.saturating_sub(in_flight),
         };
-        let awaited = mover.awaited.iter().filter_map(|name| plan.fleet.hosts.get(*name));
-        mover.ahead = awaited.map(|host| &host.pool).collect();
-        mover.offers = mover.find_offers(plan);
-        mover
+        let pending_in_wave =
+            planner.pending_in_wave.iter().filter_map(|name| plan.fleet.hosts.get(*name));
+        planner.pools_with_pending = pending_in_wave.map(|host| &host.pool).collect();
+        planner.candidates = planner.find_candidates(plan);
+        planner
     }
 
-    /// Gives hosts to pools that lack some: first where a promise is broken, then by priority.
-    fn fill(&mut self, plan: &mut Plan<'a>) {
-        let lacking = |size: &PoolSize| size.lacks() > 0;
+    /// Fills pools that lack hosts, first those that miss a budget, then by priority.
+    fn fill_pools(&mut self, plan: &mut Plan<'a>) {
+        let has_deficit = |size: &PoolSize| size.deficit() > 0;
         let mut order: Vec<_> = plan
             .fleet
             .pools
             .iter()
-            .filter(|(pool, spec)| !spec.spare && self.sizes.get(pool).is_some_and(lacking))
+            .filter(|(pool, spec)| !spec.spare && self.sizes.get(pool).is_some_and(has_deficit))
             .map(|(pool, spec)| {
-                let kept = plan.ledger.check_pool(pool).is_ok();
-                (kept, std::cmp::Reverse(spec.priority), pool)
+                let meets_budgets = plan.ledger.check_pool(pool).is_ok();
+                (meets_budgets, std::cmp::Reverse(spec.priority), pool)
             })
             .collect();
         order.sort();
-        for (kept, _, pool) in order {
-            for _ in 0..self.sizes[pool].lacks() {
-                let why = if kept { "it lacks a host" } else { "a promise there is broken" };
-                if !self.send_one(plan, pool, Use::Repair, why) {
+        for (meets_budgets, _, pool) in order {
+            for _ in 0..self.sizes[pool].deficit() {
+                let why =
+                    if meets_budgets { "it lacks a host" } else { "a promise there is broken" };
+                if !self.move_best_candidate(plan, pool, Purpose::Repair, why) {
                     break;
                 }
             }
         }
     }
 
-    /// Lends hosts to pools that a running wave finds tight, the one with most rounds left first.
-    fn lend(&mut self, plan: &mut Plan<'a>) {
-        for wave in plan.fleet.waves.values().filter(|wave| waves::goes_on(wave)) {
-            let mut needs = self.needs(plan, wave);
-            // Until its canaries have passed a wave is lent only what it cannot begin without.
+    /// Lends hosts to pools that limit a running wave, starting with the pool with the most
+    /// remaining rounds.
+    fn lend_hosts(&mut self, plan: &mut Plan<'a>) {
+        for wave in plan.fleet.waves.values().filter(|wave| waves::may_take_hosts(wave)) {
+            let mut demands = self.demands(plan, wave);
+            // Until its canaries have passed, a wave is lent only the hosts that it needs to begin.
             let canaries = matches!(waves::stage(plan.fleet, wave), Stage::Canaries { .. });
-            let can_begin = needs.iter().any(|need| need.own + need.lent > 0)
+            let can_begin = demands.iter().any(|demand| demand.own_removable + demand.lent > 0)
                 || wave.pending.iter().chain(&wave.out).any(|name| self.is_spare_host(plan, name));
             if canaries && can_begin {
                 continue;
             }
             let mut lendable = self.lendable(plan);
-            // Nothing is gained by going through the pools when there is nothing to lend.
-            while let Some(need) =
-                needs.iter_mut().filter(|_| lendable > 0).max_by_key(|n| (n.rounds(), n.pool))
+            // Skips the loop when there is nothing to lend.
+            while let Some(demand) =
+                demands.iter_mut().filter(|_| lendable > 0).max_by_key(|n| (n.rounds(), n.pool))
             {
-                let best =
-                    loan(need.pending, need.own, need.lent + lendable, wave.settings.weights);
+                let best = loan_size(
+                    demand.pending,
+                    demand.own_removable,
+                    demand.lent + lendable,
+                    wave.settings.weights,
+                );
                 let why = "a wave has few hosts to choose from there";
-                if need.lent < best && self.send_one(plan, need.pool, Use::Loan, why) {
-                    need.lent += 1;
+                if demand.lent < best
+                    && self.move_best_candidate(plan, demand.pool, Purpose::Loan, why)
+                {
+                    demand.lent += 1;
                     lendable -= 1;
                     continue;
                 }
-                let served = need.pool;
-                needs.retain(|need| need.pool != served);
+                let finished_pool = demand.pool;
+                demands.retain(|demand| demand.pool != finished_pool);
             }
         }
     }
 
-    fn needs(&self, plan: &mut Plan<'a>, wave: &'a Wave) -> Vec<Need<'a>> {
+    fn demands(&self, plan: &mut Plan<'a>, wave: &'a Wave) -> Vec<WaveDemand<'a>> {
         let mut pending: BTreeMap<&PoolName, Vec<(&HostName, &Host)>> = BTreeMap::new();
         for name in &wave.pending {
             let Some((name, host)) = plan.fleet.hosts.get_key_value(name) else { continue };
@@ -236,48 +246,56 @@
                 pending.entry(&host.pool).or_default().push((name, host));
             }
         }
-        let need = |(pool, hosts): (&'a PoolName, Vec<(&'a HostName, &'a Host)>)| {
+        let demand = |(pool, hosts): (&'a PoolName, Vec<(&'a HostName, &'a Host)>)| {
             let lent = self.sizes.get(pool).map_or(0, PoolSize::surplus);
-            let left = self.left.get(pool).copied().unwrap_or(0);
-            let out = left.saturating_sub(hosts.len());
+            let wave_hosts = self.wave_hosts.get(pool).copied().unwrap_or(0);
+            let out = wave_hosts.saturating_sub(hosts.len());
             let free = plan.ledger.removable(&hosts).len();
-            let own = (free + out).saturating_sub(lent);
-            Need { pool, pending: hosts.len(), own, lent }
+            let own_removable = (free + out).saturating_sub(lent);
+            WaveDemand { pool, pending: hosts.len(), own_removable, lent }
         };
-        pending.into_iter().map(need).collect()
+        pending.into_iter().map(demand).collect()
     }
 
-    /// How many hosts can be lent now.
+    /// The number of hosts that can be lent now.
     fn lendable(&self, plan: &Plan<'a>) -> usize {
-        let open = self.offers.iter().filter(|offer| self.is_open(plan, offer, Use::Loan)).count();
-        let spares = self.offers.iter().filter(|offer| offer.spare).count();
-        open.saturating_sub(spares / REPAIR_SHARE)
+        let movable = self
+            .candidates
+            .iter()
+            .filter(|candidate| self.is_movable(plan, candidate, Purpose::Loan))
+            .count();
+        let spares = self.candidates.iter().filter(|candidate| candidate.spare).count();
+        movable.saturating_sub(spares / REPAIR_RESERVE_DIVISOR)
     }
 
-    /// Sends hosts that a pool no longer needs to a spare pool, once all is calm.
-    fn give_back(&mut self, plan: &mut Plan<'a>) {
-        if !self.ahead.is_empty() {
+    /// Returns surplus hosts to a spare pool when no wave needs them and their pool has not changed
+    /// recently.
+    fn return_surplus(&mut self, plan: &mut Plan<'a>) {
+        if !self.pools_with_pending.is_empty() {
             return;
         }
-        let Some(spare) = self.emptiest_spare(plan) else { return };
-        let done_with: Vec<&PoolName> = self
+        let Some(spare) = self.spare_pool_to_fill(plan) else { return };
+        let pools_to_shrink: Vec<&PoolName> = self
             .sizes
             .iter()
             .filter(|(pool, size)| {
-                let in_wave = self.left.contains_key(*pool);
-                size.surplus() > 0 && !size.restless && !in_wave && !self.is_spare(plan, pool)
+                let in_wave = self.wave_hosts.contains_key(*pool);
+                size.surplus() > 0
+                    && !size.recently_changed
+                    && !in_wave
+                    && !self.is_spare(plan, pool)
             })
             .map(|(pool, _)| *pool)
             .collect();
-        for pool in done_with {
+        for pool in pools_to_shrink {
             for _ in 0..self.sizes[pool].surplus() {
                 let hosts: Vec<_> = plan
                     .fleet
                     .hosts_in(pool)
-                    .filter(|(name, host)| plan.is_free(name, host))
+                    .filter(|(name, host)| plan.is_available(name, host))
                     .collect();
-                let Some(at) = plan.ledger.next_out(&hosts) else { break };
-                let (name, host) = hosts[at];
+                let Some(index) = plan.ledger.next_removable(&hosts) else { break };
+                let (name, host) = hosts[index];
                 if !self.move_host(plan, name, host, spare, "its pool has more than it wants") {
                     break;
                 }
@@ -285,10 +303,10 @@
         }
     }
 
-    fn emptiest_spare(&self, plan: &Plan<'a>) -> Option<&'a PoolName> {
+    fn spare_pool_to_fill(&self, plan: &Plan<'a>) -> Option<&'a PoolName> {
         let spares = plan.fleet.pools.iter().filter(|(_, spec)| spec.spare);
         spares.map(|(name, _)| name).max_by_key(|name| {
-            (self.sizes.get(name).map_or(0, PoolSize::lacks), std::cmp::Reverse(*name))
+            (self.sizes.get(name).map_or(0, PoolSize::deficit), std::cmp::Reverse(*name))
         })
     }
 
@@ -300,51 +318,55 @@
         plan.fleet.pools.get(pool).is_some_and(|spec| spec.spare)
     }
 
-    fn find_offers(&self, plan: &Plan<'a>) -> Vec<Offer<'a>> {
-        let mut offers = Vec::new();
+    fn find_candidates(&self, plan: &Plan<'a>) -> Vec<Candidate<'a>> {
+        let mut candidates = Vec::new();
         for (name, host) in &plan.fleet.hosts {
             let spare = self.is_spare(plan, &host.pool);
             let surplus = self.sizes.get(&host.pool).is_some_and(|size| size.surplus() > 0);
-            if !(spare || surplus) || !plan.is_free(name, host) {
+            if !(spare || surplus) || !plan.is_available(name, host) {
                 continue;
             }
-            let awaited = self.awaited.contains(name);
-            offers.push(Offer { name, host, awaited, spare });
+            let pending_in_wave = self.pending_in_wave.contains(name);
+            candidates.push(Candidate { name, host, pending_in_wave, spare });
         }
-        offers
+        candidates
     }
 
-    /// Moves the best host that is on offer to `pool`: one that no wave awaits, then one whose
-    /// domain carries least of the pool, then a surplus one before a spare one.
-    fn send_one(
+    /// Moves the best candidate to `pool`: prefers hosts that are not pending in a wave, then those
+    /// whose failure domain holds the fewest slots of the pool, then surplus hosts over spare ones.
+    fn move_best_candidate(
         &mut self,
         plan: &mut Plan<'a>,
         pool: &'a PoolName,
-        purpose: Use,
+        purpose: Purpose,
         why: &str,
     ) -> bool {
         if self.moves_left == 0 {
             return false;
         }
         let best = self
-            .offers
+            .candidates
             .iter()
-            .filter(|offer| offer.host.pool != *pool && self.is_open(plan, offer, purpose))
-            .min_by_key(|offer| {
-                let beside = plan.ledger.domain_slots(pool, offer.name, offer.host);
-                (offer.awaited, beside, offer.spare, offer.name)
+            .filter(|candidate| {
+                candidate.host.pool != *pool && self.is_movable(plan, candidate, purpose)
+            })
+            .min_by_key(|candidate| {
+                let slots_in_domain =
+                    plan.ledger.domain_slots(pool, candidate.name, candidate.host);
+                (candidate.pending_in_wave, slots_in_domain, candidate.spare, candidate.name)
             });
-        let Some(offer) = best.copied() else { return false };
-        self.move_host(plan, offer.name, offer.host, pool, why)
+        let Some(candidate) = best.copied() else { return false };
+        self.move_host(plan, candidate.name, candidate.host, pool, why)
     }
 
-    /// Whether an offer still stands after the moves that were planned since it was found.
-    fn is_open(&self, plan: &Plan<'a>, offer: &Offer<'a>, purpose: Use) -> bool {
-        let surplus = self.sizes.get(&offer.host.pool).is_some_and(|size| size.surplus() > 0);
-        let needed_there = purpose == Use::Loan && self.ahead.contains(&offer.host.pool);
-        (offer.spare || (surplus && !needed_there))
-            && !plan.is_touched(offer.name)
-            && plan.ledger.check_without(offer.name, offer.host).is_ok()
+    /// Whether a candidate may still move after the moves planned so far.
+    fn is_movable(&self, plan: &Plan<'a>, candidate: &Candidate<'a>, purpose: Purpose) -> bool {
+        let surplus = self.sizes.get(&candidate.host.pool).is_some_and(|size| size.surplus() > 0);
+        let is_kept_for_wave =
+            purpose == Purpose::Loan && self.pools_with_pending.contains(&candidate.host.pool);
+        (candidate.spare || (surplus && !is_kept_for_wave))
+            && !plan.is_changed(candidate.name)
+            && plan.ledger.check_without(candidate.name, candidate.host).is_ok()
     }
 
     fn move_host(
@@ -371,23 +393,28 @@
     }
 }
 
-/// How many hosts to lend to a pool that has `pending` hosts ahead of a wave and can let `own` of
-/// them go at once, if up to `available` can be lent.
+/// Returns how many hosts to lend to a pool with `pending` hosts in a wave, of which it can spare
+/// `own_removable` at once, if up to `available` hosts can be lent.
 ///
-/// With `b` hosts lent the pool needs `pending / (own + b)` rounds. Fewer rounds end the wave
-/// sooner and give the spare hosts back sooner, so both the weight of roll-out time and that of
-/// buffer cost speak for loans; each loan costs two moves, there and back. Rounds and moves are
-/// taken as shares of the hosts pending, so that the weights mean the same in every pool.
-pub(crate) fn loan(pending: usize, own: usize, available: usize, weights: WaveWeights) -> usize {
+/// With `b` hosts lent, the pool needs `pending / (own_removable + b)` rounds. Fewer rounds end the
+/// wave sooner and return the spare hosts sooner, so both the weight of rollout time and that of
+/// buffer cost favour loans. Each loan costs two moves, there and back. Rounds and moves are taken
+/// relative to the number of pending hosts, so that the weights mean the same in every pool.
+pub(crate) fn loan_size(
+    pending: usize,
+    own_removable: usize,
+    available: usize,
+    weights: WaveWeights,
+) -> usize {
     if pending == 0 {
         return 0;
     }
     let gain = u64::from(weights.roll_out_time) + u64::from(weights.buffer_cost);
     let cost = |lent: usize| {
-        let rounds = pending.div_ceil((own + lent).max(1)) as u64;
+        let rounds = pending.div_ceil((own_removable + lent).max(1)) as u64;
         gain * rounds + u64::from(weights.moves) * 2 * lent as u64
     };
-    let least = usize::from(own == 0);
+    let least = usize::from(own_removable == 0);
     (least..=available.min(pending).max(least))
         .min_by_key(|lent| (cost(*lent), *lent))
         .map_or(0, |lent| lent.min(available))
--- a/crates/borageswitch_planner/src/steps/listing.rs
+++ b/crates/borageswitch_planner/src/steps/platform_list.rs
@@ -1,9 +1,10 @@
-//! Takes out hosts that the platform's list shows as leaving, and lets them back.
+//! Holds hosts that the platform's list shows as leaving, and releases them when the list no longer
+//! does.
 //!
-//! The platform takes such a host away whatever is promised here: if it went on serving, the
-//! requests on it would be cut. So it is held, beyond its pool's budget too. The list lags and can
-//! be wrong. A host that has just come back may still be shown as leaving for its own reboot, and
-//! a list that shows half of the fleet as leaving must not empty it; hence the two limits.
+//! The platform takes such a host away regardless of any budget, and requests still running on it
+//! would be cut. It is therefore held even if its pool's budget is violated. The list lags and can
+//! be wrong: a host that has just come back may still be shown as leaving for its own reboot, and a
+//! list that shows half of the fleet as leaving must not drain it. Two limits guard against that.
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 
 use crate::steps::Plan;
 
-/// What the list shows of a host counts once the host has been in its phase for this time.
+/// A host is held because of the list only after it has been in its phase for this long.
 pub(crate) const LIST_LAG: Duration = Duration::from_secs(30);
-/// A host is held beyond its pool's budget only while fewer than one in so many of all hosts are
-/// held for the list.
-const FORCED_SHARE: usize = 10;
+/// A host is held in violation of its pool's budget only while fewer than one in this many of all
+/// hosts are held because of the list.
+const FORCED_HOLD_DIVISOR: usize = 10;
 
 pub(crate) fn plan(plan: &mut Plan<'_>) {
     let Some(leaving) = &plan.observed.listed_leaving else { return };
     let mut held = plan.fleet.hosts.values().filter(|host| is_held_for_list(&host.phase)).count();
-    let most_forced = plan.fleet.hosts.len().div_ceil(FORCED_SHARE);
+    let max_forced = plan.fleet.hosts.len().div_ceil(FORCED_HOLD_DIVISOR);
     for (name, host) in &plan.fleet.hosts {
         let is_settled = plan.observed.in_phase_for(name) >= LIST_LAG;
         let is_leaving = leaving.contains(name);
         match &host.phase {
-            HostPhase::Serving if is_leaving && is_settled && !plan.is_touched(name) => {
-                let is_spared = plan.ledger.check_without(name, host).is_ok();
-                if !is_spared && held >= most_forced {
+            HostPhase::Serving if is_leaving && is_settled && !plan.is_changed(name) => {
+                let keeps_budget = plan.ledger.check_without(name, host).is_ok();
+                if !keeps_budget && held >= max_forced {
                     continue;
                 }
                 held += 1;
@@ -37,8 +38,8 @@
             }
             HostPhase::Held { reason } if &**reason == PLATFORM_LEAVES && !is_leaving => {
                 let release = FleetChange::ReleaseHost { host: name.clone() };
-                plan.touch(name);
-                plan.change(
+                plan.mark_changed(name);
+                plan.add_change(
                     release,
                     format!("{name} may serve again: the list shows it as staying"),
                 );
--- a/crates/borageswitch_planner/src/steps/power.rs
+++ b/crates/borageswitch_planner/src/steps/power.rs
@@ -1,13 +1,14 @@
-//! Keeps what is reserved under the power cap.
+//! Keeps the reserved power under the power cap.
 //!
-//! Load pattern: the cap is lowered at short notice, also in the middle of a wave, while readings
-//! lag and hosts that boot draw more than hosts that work. A planner that reacts to readings finds
-//! out too late; this one reserves before it acts. Watts come free only once a throttle or a stop
-//! is confirmed and the lag of the readings has passed, and a throttle is lifted only after its
-//! watts are reserved.
+//! The cap may be lowered at short notice, also during a wave, while readings lag and booting hosts
+//! draw more than working ones. A planner that reacts to readings would notice an excess too late,
+//! so this one reserves power before it acts. Power is released only once a throttle or stop is
+//! confirmed and the lag of the readings has passed, and a throttle is lifted only after its power
+//! is reserved.
 //!
-//! Under a lowered cap the order is: switch off what does nothing, throttle, and only if throttles
-//! in force do not suffice, stop hosts by the priority of their pools, each after a drain.
+//! Under a lowered cap, idle hosts are switched off first, then hosts are throttled. Only if
+//! throttles in force do not suffice are hosts stopped, each after a drain, in the order of their
+//! pools' priority.
 
 use borageswitch_types::{
     Fleet,
@@ -17,57 +18,58 @@
 
 use crate::steps::{Plan, hosts::valid_until};
 
-/// The watts that a plan may still reserve.
+/// The power that a plan may still reserve, in watts.
 #[derive(Debug)]
-pub(crate) struct Budget {
+pub(crate) struct PowerBudget {
     cap: u64,
     reserved: u64,
-    /// Boot surges of hosts that leave for a wave and will need them once they are drained.
-    owed: u64,
+    /// Boot surges earmarked for hosts that are leaving for a wave, which they need once they are
+    /// drained.
+    earmarked: u64,
 }
 
-impl Budget {
+impl PowerBudget {
     pub(crate) fn new(fleet: &Fleet) -> Self {
         let leaving = |host: &&Host| {
             matches!(host.phase, HostPhase::Leaving { why: LeaveReason::Wave { .. } })
         };
-        let owed = fleet.hosts.values().filter(leaving).map(|host| host.boot_surge().0).sum();
-        Self { cap: fleet.power_cap.0, reserved: fleet.reserved_power().0, owed }
+        let earmarked = fleet.hosts.values().filter(leaving).map(|host| host.boot_surge().0).sum();
+        Self { cap: fleet.power_cap.0, reserved: fleet.reserved_power().0, earmarked }
     }
 
-    /// The watts above the cap, as it is reserved now.
+    /// Reserved power above the cap.
     pub(crate) fn excess(&self) -> u64 {
         self.reserved.saturating_sub(self.cap)
     }
 
-    /// Whether `more` watts fit beside what is reserved and owed.
+    /// Whether `more` watts fit under the cap in addition to reserved and earmarked power.
     pub(crate) fn fits(&self, more: u64) -> bool {
-        self.reserved + self.owed + more <= self.cap
+        self.reserved + self.earmarked + more <= self.cap
     }
 
-    /// Reserves the boot surge of a drained host, which was owed so far.
-    pub(crate) fn spend_surge(&mut self, host: &Host) -> bool {
+    /// Reserves the boot surge of a drained host, which was earmarked so far.
+    pub(crate) fn reserve_surge(&mut self, host: &Host) -> bool {
         let surge = host.boot_surge().0;
         if self.reserved + surge > self.cap {
             return false;
         }
         self.reserved += surge;
-        self.owed = self.owed.saturating_sub(surge);
+        self.earmarked = self.earmarked.saturating_sub(surge);
         true
     }
 
-    /// Sets the boot surge of a host aside that begins to leave.
-    pub(crate) fn owe_surge(&mut self, host: &Host) -> bool {
+    /// Earmarks the boot surge of a host that begins to leave.
+    pub(crate) fn earmark_surge(&mut self, host: &Host) -> bool {
         let surge = host.boot_surge().0;
         if !self.fits(surge) {
             return false;
         }
-        self.owed += surge;
+        self.earmarked += surge;
         true
     }
 
-    /// Reserves the start of a host that is off or failed.
-    pub(crate) fn spend_start(&mut self, host: &Host) -> bool {
+    /// Reserves the boot surge of a host that is off or failed.
+    pub(crate) fn reserve_start(&mut self, host: &Host) -> bool {
         let more = host.boot_surge().0;
         if !self.fits(more) {
             return false;
@@ -76,70 +78,70 @@
         true
     }
 
-    fn spend(&mut self, more: u64) {
+    fn reserve(&mut self, more: u64) {
         self.reserved += more;
     }
 }
 
-/// The watts that will come free by what was asked of agents already.
-fn coming_free(fleet: &Fleet) -> u64 {
-    let freed = |host: &Host| match (&host.phase, &host.power) {
+/// Power that will be released by commands already sent to agents.
+fn pending_release(fleet: &Fleet) -> u64 {
+    let released = |host: &Host| match (&host.phase, &host.power) {
         (HostPhase::Leaving { why: LeaveReason::Power }, _)
         | (_, HostPower::SwitchingOff { .. }) => host.reserved_power().0,
         (_, HostPower::Throttling { .. }) => throttle_gain(host),
         _ => 0,
     };
-    fleet.hosts.values().map(freed).sum()
+    fleet.hosts.values().map(released).sum()
 }
 
 fn throttle_gain(host: &Host) -> u64 {
     host.spec.draw.peak.0.saturating_sub(host.spec.draw.throttled.0)
 }
 
-/// Spare hosts give way first, then pools by priority.
-fn rank(fleet: &Fleet, host: &Host) -> (bool, u8) {
+/// Sort key of hosts that give up power: spare hosts first, then by the priority of their pool.
+fn shed_rank(fleet: &Fleet, host: &Host) -> (bool, u8) {
     let pool = fleet.pools.get(&host.pool);
     (!pool.is_some_and(|pool| pool.spare), pool.map_or(0, |pool| pool.priority))
 }
 
-fn by_rank<'a>(plan: &Plan<'a>) -> Vec<(&'a HostName, &'a Host)> {
+fn hosts_by_rank<'a>(plan: &Plan<'a>) -> Vec<(&'a HostName, &'a Host)> {
     let mut hosts: Vec<_> = plan.fleet.hosts.iter().collect();
-    hosts.sort_by_key(|(name, host)| (rank(plan.fleet, host), *name));
+    hosts.sort_by_key(|(name, host)| (shed_rank(plan.fleet, host), *name));
     hosts
 }
 
-/// Brings the reservation under a cap that was lowered.
+/// Reduces the reserved power below a lowered cap.
 pub(crate) fn shed(plan: &mut Plan<'_>) {
     let excess = plan.power.excess();
     if excess == 0 {
         return;
     }
-    let mut missing = excess.saturating_sub(coming_free(plan.fleet));
-    let hosts = by_rank(plan);
-    switch_idle_off(plan, &hosts, &mut missing);
+    let mut missing = excess.saturating_sub(pending_release(plan.fleet));
+    let hosts = hosts_by_rank(plan);
+    switch_off_idle(plan, &hosts, &mut missing);
     let throttles = throttle(plan, &hosts, &mut missing, "the power cap was lowered");
     let throttling = |host: &Host| matches!(host.power, HostPower::Throttling { .. });
-    let on_their_way = throttles > 0 || plan.fleet.hosts.values().any(throttling);
-    if missing > 0 && !on_their_way {
+    let throttles_pending = throttles > 0 || plan.fleet.hosts.values().any(throttling);
+    if missing > 0 && !throttles_pending {
         stop(plan, &hosts, missing);
     }
 }
 
-fn switch_idle_off<'a>(plan: &mut Plan<'a>, hosts: &[(&'a HostName, &'a Host)], missing: &mut u64) {
+fn switch_off_idle<'a>(plan: &mut Plan<'a>, hosts: &[(&'a HostName, &'a Host)], missing: &mut u64) {
     for (name, host) in hosts {
         let idle = matches!(host.phase, HostPhase::Held { .. } | HostPhase::Failed { .. });
         let on = !matches!(host.power, HostPower::Off | HostPower::SwitchingOff { .. });
-        if *missing == 0 || !idle || !on || plan.is_touched(name) {
+        if *missing == 0 || !idle || !on || plan.is_changed(name) {
             continue;
         }
         *missing = missing.saturating_sub(host.reserved_power().0);
-        plan.touch(name);
+        plan.mark_changed(name);
         let why = format!("{name} does nothing and the power cap is exceeded");
-        plan.change(FleetChange::SwitchOff { host: HostName::clone(name) }, why);
+        plan.add_change(FleetChange::SwitchOff { host: HostName::clone(name) }, why);
     }
 }
 
-/// Throttles hosts until `missing` watts are found, and says how many.
+/// Throttles hosts until `missing` watts are covered, and returns their number.
 fn throttle<'a>(
     plan: &mut Plan<'a>,
     hosts: &[(&'a HostName, &'a Host)],
@@ -154,25 +156,26 @@
         );
         let full = matches!(host.power, HostPower::Full | HostPower::Lifting { .. });
         let gain = throttle_gain(host);
-        if *missing == 0 || !running || !full || gain == 0 || plan.is_touched(name) {
+        if *missing == 0 || !running || !full || gain == 0 || plan.is_changed(name) {
             continue;
         }
         *missing = missing.saturating_sub(gain);
         throttles += 1;
         let why = format!("{name} is throttled: {why}");
-        plan.change(FleetChange::BeginThrottle { host: HostName::clone(name) }, why);
+        plan.add_change(FleetChange::BeginThrottle { host: HostName::clone(name) }, why);
     }
     throttles
 }
 
-/// Stops hosts by the priority of their pools: first those without which all promises are kept.
+/// Stops hosts by the priority of their pools, first those that no availability budget needs.
 ///
-/// The cap is physical: when no such host is left it goes before a promise, in the same order.
+/// The cap is a physical limit: when no such host is left, it takes precedence over budgets, in the
+/// same order.
 fn stop<'a>(plan: &mut Plan<'a>, hosts: &[(&'a HostName, &'a Host)], mut missing: u64) {
-    for keeps_promises in [true, false] {
+    for keep_budgets in [true, false] {
         for (name, host) in hosts {
-            let stoppable = host.phase == HostPhase::Serving && !plan.is_touched(name);
-            let allowed = !keeps_promises || plan.ledger.check_without(name, host).is_ok();
+            let stoppable = host.phase == HostPhase::Serving && !plan.is_changed(name);
+            let allowed = !keep_budgets || plan.ledger.check_without(name, host).is_ok();
             if missing == 0 || !stoppable || !allowed {
                 continue;
             }
@@ -188,13 +191,13 @@
     }
 }
 
-fn active_waves(fleet: &Fleet) -> impl Iterator<Item = &Wave> {
+fn running_waves(fleet: &Fleet) -> impl Iterator<Item = &Wave> {
     fleet.waves.values().filter(|wave| wave.status == WaveStatus::Running)
 }
 
-/// The largest boot surge that a running wave still needs at once.
+/// The largest boot surge that the next host of a running wave may need.
 fn next_surge(fleet: &Fleet) -> u64 {
-    let hosts = active_waves(fleet).flat_map(|wave| wave.pending.iter().chain(&wave.out));
+    let hosts = running_waves(fleet).flat_map(|wave| wave.pending.iter().chain(&wave.out));
     let surge = |host: &Host| match host.phase {
         HostPhase::Rebooting { .. } => 0,
         _ => host.boot_surge().0,
@@ -202,10 +205,10 @@
     hosts.filter_map(|name| fleet.hosts.get(name)).map(surge).max().unwrap_or(0)
 }
 
-/// Throttles hosts for the boot surge of a wave that could not go on for want of watts.
+/// Throttles hosts to cover the boot surge of a wave that would otherwise wait for power.
 ///
-/// While a host reboots nothing is done: its surge comes free by itself.
-pub(crate) fn make_room(plan: &mut Plan<'_>) {
+/// Does nothing while a host reboots, because its surge will be released without a throttle.
+pub(crate) fn throttle_for_boot_surge(plan: &mut Plan<'_>) {
     let booting = |host: &Host| {
         matches!(host.phase, HostPhase::Rebooting { .. } | HostPhase::Starting { .. })
     };
@@ -213,49 +216,50 @@
         return;
     }
     let surge = next_surge(plan.fleet);
-    let leaving = plan.power.owed;
+    let leaving = plan.power.earmarked;
     let needed = if leaving > 0 { 0 } else { surge };
-    let room = plan.power.cap - plan.power.reserved;
-    let missing = (leaving.min(surge) + needed).saturating_sub(room);
-    let mut missing = missing.saturating_sub(coming_free(plan.fleet));
+    let unreserved = plan.power.cap - plan.power.reserved;
+    let missing = (leaving.min(surge) + needed).saturating_sub(unreserved);
+    let mut missing = missing.saturating_sub(pending_release(plan.fleet));
     if missing > 0 {
-        let hosts = by_rank(plan);
+        let hosts = hosts_by_rank(plan);
         throttle(plan, &hosts, &mut missing, "a reboot needs its watts");
     }
 }
 
-/// Starts parked hosts and lifts throttles, the highest priority first, as far as watts allow.
+/// Starts parked hosts and lifts throttles as far as the power cap allows, the highest priority
+/// first.
 ///
-/// The next boot surge of a running wave is kept free, or each reboot would find its watts spent
-/// and throttle the same hosts again.
-pub(crate) fn give_back(plan: &mut Plan<'_>) {
-    let limited =
+/// Keeps the next boot surge of a running wave free, since otherwise each reboot would find its
+/// power spent and throttle the same hosts again.
+pub(crate) fn restore(plan: &mut Plan<'_>) {
+    let is_reduced =
         |host: &Host| host.power == HostPower::Throttled || host.phase == HostPhase::Parked;
-    if plan.power.excess() > 0 || !plan.fleet.hosts.values().any(limited) {
+    if plan.power.excess() > 0 || !plan.fleet.hosts.values().any(is_reduced) {
         return;
     }
-    let kept = next_surge(plan.fleet);
-    let mut hosts = by_rank(plan);
+    let headroom = next_surge(plan.fleet);
+    let mut hosts = hosts_by_rank(plan);
     hosts.reverse();
     for (name, host) in &hosts {
         let parked = host.phase == HostPhase::Parked && host.power == HostPower::Off;
         let surge = host.boot_surge().0;
-        if parked && !plan.is_touched(name) && plan.power.fits(surge + kept) {
-            plan.power.spend(surge);
-            plan.touch(name);
+        if parked && !plan.is_changed(name) && plan.power.fits(surge + headroom) {
+            plan.power.reserve(surge);
+            plan.mark_changed(name);
             let not_after = valid_until(plan.observed.wall);
             let start = FleetChange::StartHost { host: HostName::clone(name), not_after };
-            plan.change(start, format!("the power cap leaves {} for {name}", Watts(surge)));
+            plan.add_change(start, format!("the power cap leaves {} for {name}", Watts(surge)));
         }
     }
     for (name, host) in &hosts {
         let gain = throttle_gain(host);
         let throttled = host.power == HostPower::Throttled;
-        if throttled && !plan.is_touched(name) && plan.power.fits(gain + kept) {
-            plan.power.spend(gain);
-            plan.touch(name);
+        if throttled && !plan.is_changed(name) && plan.power.fits(gain + headroom) {
+            plan.power.reserve(gain);
+            plan.mark_changed(name);
             let lift = FleetChange::LiftThrottle { host: HostName::clone(name) };
-            plan.change(lift, format!("the power cap leaves {} for {name}", Watts(gain)));
+            plan.add_change(lift, format!("the power cap leaves {} for {name}", Watts(gain)));
         }
     }
 }
