--- a/crates/borageswitch_planner/src/steps/tests.rs
+++ b/crates/borageswitch_planner/src/steps/tests.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the planner: the document and what was seen go in, steps come out.
+//! Tests single planning decisions: steps computed from a document and observations.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -15,16 +15,16 @@
 
 use crate::{
     changes, explain,
-    model::{Region, Way, sites},
+    model::{Region, RolloutStrategy, sites},
     steps::{
         Observed, Step,
-        moves::{MAX_MOVES, loan},
+        moves::{MAX_MOVES, loan_size},
         next_steps,
     },
 };
 
-fn host(at: usize) -> HostName {
-    HostName::from(format!("h{at:04}"))
+fn host(index: usize) -> HostName {
+    HostName::from(format!("h{index:04}"))
 }
 
 fn wave() -> WaveName {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Everything has been as it is for an hour, and every agent is ready.
-fn calm(fleet: &Fleet) -> Observed {
+/// Observations of a steady state: no change for an hour, and every agent is ready.
+fn steady_state(fleet: &Fleet) -> Observed {
     let status = AgentStatus { ready: true, done: None, draw_watts: 100 };
     Observed {
         now: Time::from_millis(7_200_000),
@@ -80,15 +80,15 @@
     fleet
 }
 
-fn leavers(steps: Vec<Step>) -> Vec<HostName> {
-    let leaver = |change| match change {
+fn leaving_hosts(steps: Vec<Step>) -> Vec<HostName> {
+    let leaving_host = |change| match change {
         FleetChange::BeginLeave { host, .. } => Some(host),
         _ => None,
     };
-    changes_of(steps).into_iter().filter_map(leaver).collect()
+    changes_of(steps).into_iter().filter_map(leaving_host).collect()
 }
 
-/// Puts a host back in service as if the wave had rebooted it.
+/// Takes a host through a complete reboot of the wave.
 fn reboot(fleet: &mut Fleet, name: &HostName) {
     accept(
         fleet,
@@ -110,21 +110,21 @@
 }
 
 #[test]
-fn a_calm_fleet_needs_no_step() {
+fn a_steady_fleet_needs_no_step() {
     let fleet = sites::association(1, 3).fleet();
 
-    assert_eq!(next_steps(&fleet, &calm(&fleet)), vec![]);
+    assert_eq!(next_steps(&fleet, &steady_state(&fleet)), vec![]);
 }
 
-/// A bad image fails on every host of one type. Users must lose one host to it, not a batch.
+/// A bad image fails on every host of one type. Only one host of the type may be lost, not a batch.
 #[test]
-fn canaries_go_first_one_of_each_type_and_spare_hosts_before_others() {
+fn canaries_leave_first_one_of_each_type_and_spare_hosts_before_others() {
     let mut fleet = fleet_with_wave(WaveSettings::default());
     let other_type = host(7);
     let changed = fleet.hosts.get_mut(&other_type).expect("the site has it");
     changed.spec.draw.peak = Watts(1_700);
 
-    let first = leavers(next_steps(&fleet, &calm(&fleet)));
+    let first = leaving_hosts(next_steps(&fleet, &steady_state(&fleet)));
 
     assert_eq!(first, vec![host(50), other_type]);
 }
@@ -133,13 +133,13 @@
 fn batches_double_with_what_has_passed_and_halve_with_each_failure() {
     let mut fleet = fleet_with_wave(WaveSettings { max_batch: 6, ..WaveSettings::default() });
     let mut sizes = Vec::new();
-    for at in [50, 51] {
-        reboot(&mut fleet, &host(at));
-        sizes.push(leavers(next_steps(&fleet, &calm(&fleet))).len());
+    for index in [50, 51] {
+        reboot(&mut fleet, &host(index));
+        sizes.push(leaving_hosts(next_steps(&fleet, &steady_state(&fleet))).len());
     }
     reboot(&mut fleet, &host(0));
     reboot(&mut fleet, &host(1));
-    sizes.push(leavers(next_steps(&fleet, &calm(&fleet))).len());
+    sizes.push(leaving_hosts(next_steps(&fleet, &steady_state(&fleet))).len());
     accept(
         &mut fleet,
         vec![
@@ -147,7 +147,7 @@
             FleetChange::FailHost { host: host(2), reason: "it stayed away".into() },
         ],
     );
-    sizes.push(leavers(next_steps(&fleet, &calm(&fleet))).len());
+    sizes.push(leaving_hosts(next_steps(&fleet, &steady_state(&fleet))).len());
 
     assert_eq!(sizes, vec![2, 4, 6, 3]);
 }
@@ -156,10 +156,10 @@
 fn too_many_failures_halt_the_wave_before_anything_else_reboots() {
     let settings = WaveSettings { max_failures: 0, canaries: 0, ..WaveSettings::default() };
     let mut fleet = fleet_with_wave(settings);
-    let leave = |at| FleetChange::BeginLeave { host: host(at), wave: wave() };
+    let leave = |index| FleetChange::BeginLeave { host: host(index), wave: wave() };
     let fail = FleetChange::FailHost { host: host(50), reason: "it stayed away".into() };
     accept(&mut fleet, vec![leave(50), leave(51), fail]);
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
     observed.drained.insert(host(51));
 
     let planned = changes_of(next_steps(&fleet, &observed));
@@ -169,10 +169,10 @@
     assert!(planned.iter().any(halts) && !planned.iter().any(reboots), "{planned:?}");
 }
 
-/// The command to reboot was lost and its time has passed. Without a new one the host would stand
-/// idle until its timeout and then count as failed though nothing ails it.
+/// A reboot command was lost and its validity has passed. Without a new command, a healthy host
+/// would stand idle until its timeout and then count as failed.
 #[test]
-fn a_lost_reboot_is_asked_again_only_after_its_time_has_passed() {
+fn a_lost_reboot_command_is_renewed_only_after_it_has_expired() {
     let mut fleet = fleet_with_wave(WaveSettings::default());
     let until = UnixMillis(1_000_000);
     accept(
@@ -182,7 +182,7 @@
             FleetChange::FinishLeave { host: host(50), not_after: until },
         ],
     );
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
     observed.phase_since.insert(host(50), ago(&observed, 30));
 
     let in_time = next_steps(&fleet, &observed);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_host_that_stays_away_is_written_off() {
+fn a_host_that_does_not_return_fails() {
     let mut fleet = fleet_with_wave(WaveSettings::default());
     accept(
         &mut fleet,
@@ -208,7 +208,7 @@
             FleetChange::FinishLeave { host: host(50), not_after: UnixMillis(1_000_000) },
         ],
     );
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
     observed.agents.remove(&host(50));
 
     let planned = changes_of(next_steps(&fleet, &observed));
@@ -218,15 +218,15 @@
     );
 }
 
-/// A switch fails. All hosts of its rack are silent at once and will be back at once; written off
-/// one by one they would each need a restart.
+/// A switch fails, so all hosts of its rack go silent and return together. If they were failed one
+/// by one, each would need a restart.
 #[test]
-fn a_single_silent_host_is_written_off_and_a_whole_rack_is_not() {
+fn a_single_silent_host_fails_and_a_whole_silent_rack_does_not() {
     let fleet = sites::association(1, 3).fleet();
     let silent = |hosts: &[usize]| {
-        let mut observed = calm(&fleet);
-        for at in hosts {
-            observed.unreachable_since.insert(host(*at), ago(&observed, 130));
+        let mut observed = steady_state(&fleet);
+        for index in hosts {
+            observed.unreachable_since.insert(host(*index), ago(&observed, 130));
         }
         let planned = changes_of(next_steps(&fleet, &observed));
         planned.iter().filter(|change| matches!(change, FleetChange::FailHost { .. })).count()
@@ -237,14 +237,14 @@
     assert_eq!(silent(&[0, 1, 2, 3]), 0);
 }
 
-/// A release of the payroll service answers every request with an error. Its hosts are sound;
-/// written off, they would leave payroll without any.
+/// A faulty release makes the payroll service respond to every request with an error. Its hosts are
+/// healthy; failing them would leave payroll without hosts.
 #[test]
-fn hosts_are_not_written_off_for_the_fault_of_their_service() {
+fn hosts_do_not_fail_for_a_fault_of_their_service() {
     let fleet = sites::association(1, 3).fleet();
     let failing = |hosts: &[usize]| {
-        let mut observed = calm(&fleet);
-        observed.failing = hosts.iter().map(|at| (host(*at), "all fail".into())).collect();
+        let mut observed = steady_state(&fleet);
+        observed.failing = hosts.iter().map(|index| (host(*index), "all fail".into())).collect();
         let planned = changes_of(next_steps(&fleet, &observed));
         planned.iter().filter(|change| matches!(change, FleetChange::FailHost { .. })).count()
     };
@@ -259,23 +259,26 @@
     let fail = FleetChange::FailHost { host: host(0), reason: "smoke".into() };
     accept(&mut fleet, vec![fail.clone()]);
 
-    let first = changes_of(next_steps(&fleet, &calm(&fleet)));
+    let first = changes_of(next_steps(&fleet, &steady_state(&fleet)));
     fleet.hosts.get_mut(&host(0)).expect("it is there").failures = 3;
-    let worn_out = changes_of(next_steps(&fleet, &calm(&fleet)));
+    let after_limit = changes_of(next_steps(&fleet, &steady_state(&fleet)));
 
     let restarts = |change: &FleetChange| matches!(change, FleetChange::StartHost { .. });
     let to = PoolName::from("pricing");
     let replaces = |change: &FleetChange| matches!(change, FleetChange::MoveHost { to: pool, .. } if *pool == to);
     assert!(first.iter().any(restarts) && first.iter().any(replaces), "{first:?}");
-    assert!(!worn_out.iter().any(restarts) && worn_out.iter().any(replaces), "{worn_out:?}");
+    assert!(
+        !after_limit.iter().any(restarts) && after_limit.iter().any(replaces),
+        "{after_limit:?}"
+    );
 }
 
-/// A data centre is lost for a minute. Without a bound a third of the fleet would be on its way
-/// from pool to pool when it comes back.
+/// A data centre is lost for a minute. Without a limit, a third of the fleet would be moving
+/// between pools when it returns.
 #[test]
-fn a_lost_data_centre_sets_few_moves_in_flight() {
+fn a_lost_data_centre_causes_a_bounded_number_of_moves() {
     let fleet = sites::association(1, 20).fleet();
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
     let gone = fleet.hosts.iter().filter(|(_, h)| h.spec.data_centre.as_str() == "detroit");
     observed.unreachable_since = gone.map(|(n, _)| (n.clone(), ago(&observed, 40))).collect();
 
@@ -286,24 +289,26 @@
 }
 
 #[test]
-fn a_loan_pays_while_rounds_weigh_more_than_moves() {
+fn a_loan_is_made_while_rounds_weigh_more_than_moves() {
     let time = sites::weights(0, 1_000, 100);
     let moves = sites::weights(0, 100, 1_000);
 
-    assert_eq!(loan(8, 0, 4, time), 4);
-    assert_eq!(loan(8, 0, 4, moves), 1, "without any loan the wave would stand");
-    assert_eq!(loan(8, 2, 4, moves), 0);
-    assert_eq!(loan(8, 0, 0, time), 0);
-    assert_eq!(loan(0, 0, 4, time), 0);
+    assert_eq!(loan_size(8, 0, 4, time), 4);
+    assert_eq!(loan_size(8, 0, 4, moves), 1, "without any loan the wave would stand");
+    assert_eq!(loan_size(8, 2, 4, moves), 0);
+    assert_eq!(loan_size(8, 0, 0, time), 0);
+    assert_eq!(loan_size(0, 0, 4, time), 0);
 }
 
-/// The cap is lowered further than throttles reach. The pools of least priority give hosts, each
-/// after a drain, and none is stopped while a throttle is still on its way.
+/// The cap is lowered further than throttling can reach. Hosts of the pools with the lowest
+/// priority are stopped, each after a drain, but none while a throttle is pending.
 #[test]
 fn stops_come_after_throttles_and_by_priority() {
-    let mut region = Region::new(sites::spotless_ridge(1, 3).fleet(), Way::Planner, 3);
+    let mut region = Region::new(sites::spotless_ridge(1, 3).fleet(), RolloutStrategy::Planner, 3);
     let low = Watts(region.fleet().power_cap.0 / 2);
-    region.operate(FleetChange::SetPowerCap { cap: low }, "the grid asks").expect("accepted");
+    region
+        .apply_operator_change(FleetChange::SetPowerCap { cap: low }, "the grid asks")
+        .expect("accepted");
 
     region.run_for(Duration::from_secs(4));
     let throttling = region.decisions().iter().any(|line| line.contains("is throttled"));
@@ -320,10 +325,10 @@
     assert!(parked("back-office") > 0);
 }
 
-/// A throttled host reboots by itself and forgets its throttle. Its watts may belong to another
-/// host by now, so it must be throttled again as soon as a reading shows it.
+/// A throttled host reboots on its own and loses its throttle. Its power may be reserved for
+/// another host, so it must be throttled again as soon as a reading shows the loss.
 #[test]
-fn a_throttle_that_a_host_has_lost_is_repeated() {
+fn a_lost_throttle_is_repeated() {
     let mut fleet = sites::spotless_ridge(1, 3).fleet();
     accept(&mut fleet, vec![FleetChange::BeginThrottle { host: host(0) }]);
     let HostPower::Throttling { operation } = fleet.hosts[&host(0)].power.clone() else {
@@ -332,13 +337,13 @@
     let confirm = FleetChange::ConfirmThrottle { host: host(0), operation };
     let low = Watts(fleet.reserved_power().0 - 700);
     accept(&mut fleet, vec![confirm, FleetChange::SetPowerCap { cap: low }]);
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
 
-    let quiet = next_steps(&fleet, &observed);
+    let unchanged = next_steps(&fleet, &observed);
     observed.agents.get_mut(&host(0)).expect("it answers").draw_watts = 1_500;
     let repeated = next_steps(&fleet, &observed);
 
-    assert_eq!(quiet, vec![]);
+    assert_eq!(unchanged, vec![]);
     assert!(matches!(
         &repeated[0],
         Step::Command { command: AgentCommand::Throttle { limit_watts: Some(1_100), .. }, .. }
@@ -346,14 +351,14 @@
 }
 
 #[test]
-fn what_was_stopped_starts_again_when_the_cap_is_back() {
-    let mut region = Region::new(sites::spotless_ridge(1, 3).fleet(), Way::Planner, 3);
+fn stopped_hosts_restart_when_the_cap_is_restored() {
+    let mut region = Region::new(sites::spotless_ridge(1, 3).fleet(), RolloutStrategy::Planner, 3);
     let full = region.fleet().power_cap;
     let cap = |watts| FleetChange::SetPowerCap { cap: Watts(watts) };
-    region.operate(cap(full.0 / 2), "the grid asks").expect("accepted");
+    region.apply_operator_change(cap(full.0 / 2), "the grid asks").expect("accepted");
     region.run_for(Duration::from_secs(400));
 
-    region.operate(cap(full.0), "all clear").expect("accepted");
+    region.apply_operator_change(cap(full.0), "all clear").expect("accepted");
     region.run_for(Duration::from_secs(3_000));
 
     let serving = region.fleet().hosts.values().filter(|host| host.gives_capacity()).count();
@@ -362,10 +367,10 @@
     assert_eq!(limited, Watts(48 * 1_800));
 }
 
-/// Two hosts fail their reboots. Users must see the wave stop by itself and say why.
+/// Reboots fail. The wave must halt by itself and explain why.
 #[test]
 fn a_halted_wave_explains_itself() {
-    let mut region = Region::new(sites::spotless_ridge(0, 5).fleet(), Way::Planner, 5);
+    let mut region = Region::new(sites::spotless_ridge(0, 5).fleet(), RolloutStrategy::Planner, 5);
     let broken: Vec<_> = (0..45).map(host).collect();
     region.break_reboots(&broken);
     let settings = sites::wave_settings(sites::weights(400, 400, 200));
@@ -381,42 +386,43 @@
 }
 
 #[test]
-fn nothing_is_said_of_what_does_not_exist() {
+fn explanations_of_unknown_objects_are_empty() {
     let fleet = sites::association(1, 3).fleet();
-    let observed = calm(&fleet);
+    let observed = steady_state(&fleet);
 
     assert!(explain::host(&fleet, &observed, &HostName::from("nobody")).is_empty());
     assert!(explain::pool(&fleet, &observed, &PoolName::from("nothing")).is_empty());
     assert!(explain::wave(&fleet, &observed, &wave()).is_empty());
 }
 
-/// The platform is about to take three hosts of one pool away, more than its promise spares. Were
-/// they left in service their requests would be cut; were the list believed whatever it shows, a
-/// wrong one would empty the fleet.
+/// The platform is about to take away more hosts of a pool than its budget allows. Hosts left in
+/// service would have their requests cut; but trusting a wrong list without a limit would drain the
+/// fleet.
 #[test]
-fn hosts_that_the_platform_takes_away_are_held_within_limits() {
+fn hosts_listed_as_leaving_are_held_within_limits() {
     let fleet = sites::association(1, 3).fleet();
-    let mut observed = calm(&fleet);
+    let mut observed = steady_state(&fleet);
     observed.listed_leaving = Some([host(0)].into());
-    let one = holds(next_steps(&fleet, &observed));
+    let one = held_hosts(next_steps(&fleet, &observed));
     observed.phase_since.insert(host(0), observed.now);
-    let just_back = holds(next_steps(&fleet, &observed));
-    observed = calm(&fleet);
+    let just_back = held_hosts(next_steps(&fleet, &observed));
+    observed = steady_state(&fleet);
     observed.listed_leaving = Some(fleet.hosts.keys().cloned().collect());
-    let wrong_list = holds(next_steps(&fleet, &observed));
+    let wrong_list = held_hosts(next_steps(&fleet, &observed));
 
     assert_eq!((one, just_back), (vec![host(0)], vec![]));
     assert!(!wrong_list.is_empty() && wrong_list.len() < fleet.hosts.len(), "{wrong_list:?}");
 }
 
-/// A host that the list no longer shows as leaving serves again; one that an operator holds stays.
+/// A host that the list no longer shows as leaving serves again; one held by an operator stays
+/// held.
 #[test]
-fn a_host_that_stays_after_all_is_released() {
+fn a_host_no_longer_listed_as_leaving_is_released() {
     let mut fleet = sites::association(1, 3).fleet();
-    let observed = calm(&fleet);
-    for (at, reason) in [(0, PLATFORM_LEAVES), (1, "a fan is loud")] {
+    let observed = steady_state(&fleet);
+    for (index, reason) in [(0, PLATFORM_LEAVES), (1, "a fan is loud")] {
         let held = HostPhase::Held { reason: reason.into() };
-        fleet.hosts.get_mut(&host(at)).expect("it exists").phase = held;
+        fleet.hosts.get_mut(&host(index)).expect("it exists").phase = held;
     }
     let observed = Observed { listed_leaving: Some(BTreeSet::new()), ..observed };
 
@@ -431,7 +437,7 @@
     assert_eq!(released, vec![host(0)]);
 }
 
-fn holds(steps: Vec<Step>) -> Vec<HostName> {
+fn held_hosts(steps: Vec<Step>) -> Vec<HostName> {
     let hold = |change| match change {
         FleetChange::HoldHost { host, .. } => Some(host),
         _ => None,
--- a/crates/borageswitch_planner/tests/sessions.rs
+++ b/crates/borageswitch_planner/tests/sessions.rs
@@ -1,11 +1,11 @@
-//! Golden sessions: what the planner decides, second by second, on both users' sites.
+//! Snapshot tests of the planner's decisions over time, on both users' sites.
 
 use std::time::Duration;
 
 use borageswitch_planner::{
     explain,
     model::{
-        Region, Way,
+        Region, RolloutStrategy,
         sites::{self, SiteShape},
     },
 };
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn a_quiet_days_wave() {
+fn a_wave_without_faults() {
     for (shape, settings) in both_sites() {
-        let mut region = Region::new(shape.fleet(), Way::Planner, SEED);
+        let mut region = Region::new(shape.fleet(), RolloutStrategy::Planner, SEED);
         region.start_wave(&wave(), settings);
 
         region.run_for(MINUTE * 20);
@@ -62,25 +62,29 @@
     }
 }
 
-/// An operator brings a spare host of another data centre into a pool and gives one of the pool's
-/// own back. The pool keeps its promise throughout, and the host that goes takes no work of its
-/// old pool once it stands in the new one.
+/// An operator moves a spare host of another data centre into a pool and then one of the pool's
+/// hosts out of it. The pool must meet its budget throughout, and the departing host must accept no
+/// work of its old pool once it is in the new one.
 #[test]
 fn a_move_between_data_centres() {
     for (shape, _) in both_sites() {
-        let mut region = Region::new(shape.fleet(), Way::Planner, SEED);
+        let mut region = Region::new(shape.fleet(), RolloutStrategy::Planner, SEED);
         let pool = PoolName::from(shape.pools[2].as_str());
         let spares = PoolName::from(sites::SPARE_POOL);
         let (leaver, home) = first_in(&region, &pool, None);
         let (joiner, _) = first_in(&region, &spares, Some(&home));
 
         let too_early = FleetChange::MoveHost { host: leaver.clone(), to: spares.clone() };
-        let refusal = region.operate(too_early, "too early").expect_err("the promise would break");
+        let refusal = region
+            .apply_operator_change(too_early, "too early")
+            .expect_err("the promise would break");
         let join = FleetChange::MoveHost { host: joiner.clone(), to: pool.clone() };
-        region.operate(join, "the joiner goes first").expect("a spare host may go");
+        region.apply_operator_change(join, "the joiner goes first").expect("a spare host may go");
         region.run_for(MINUTE);
         let leave = FleetChange::MoveHost { host: leaver.clone(), to: spares };
-        region.operate(leave, "the leaver follows").expect("the pool has one more now");
+        region
+            .apply_operator_change(leave, "the leaver follows")
+            .expect("the pool has one more now");
         let observed = region.observed();
         let lines = explain::host(region.fleet(), &observed, &leaver);
         let why = explained(&region, lines, leaver.as_str());
@@ -101,28 +105,32 @@
     (name.clone(), host.spec.data_centre.to_string())
 }
 
-/// The grid asks for a fifth less power while hosts reboot for a wave. Users must notice nothing
-/// but slower answers: hosts are throttled, no further host boots, and the wave goes on when the
-/// cap is back.
+/// The power cap is lowered by a fifth while hosts reboot for a wave. Users may only notice slower
+/// responses: hosts are throttled, no further host boots, and the wave continues when the cap is
+/// restored.
 #[test]
 fn a_cap_lowered_in_the_middle_of_a_wave() {
     for (shape, settings) in both_sites() {
-        let mut region = Region::new(shape.fleet(), Way::Planner, SEED);
+        let mut region = Region::new(shape.fleet(), RolloutStrategy::Planner, SEED);
         let full = region.fleet().power_cap;
         let low = Watts(full.0 * 80 / 100);
         region.start_wave(&wave(), settings);
         region.run_for(MINUTE * 20);
 
-        region.operate(FleetChange::SetPowerCap { cap: low }, "the grid asks").expect("accepted");
+        region
+            .apply_operator_change(FleetChange::SetPowerCap { cap: low }, "the grid asks")
+            .expect("accepted");
         region.run_for(MINUTE);
         let observed = region.observed();
         let why = explained(&region, explain::wave(region.fleet(), &observed, &wave()), "spring");
         region.run_for(MINUTE * 9);
-        let (reserved, drawn) = (region.fleet().reserved_power(), region.drawn());
-        region.operate(FleetChange::SetPowerCap { cap: full }, "all clear").expect("accepted");
+        let (reserved, power_draw) = (region.fleet().reserved_power(), region.power_draw());
+        region
+            .apply_operator_change(FleetChange::SetPowerCap { cap: full }, "all clear")
+            .expect("accepted");
         let ended = region.run_wave(&wave(), DAY);
 
-        assert!(reserved <= low && drawn <= low, "{reserved} and {drawn} under {low}");
+        assert!(reserved <= low && power_draw <= low, "{reserved} and {power_draw} under {low}");
         assert!(ended);
         assert_eq!(region.measures().broken_seconds, 0);
         let golden = format!("{}\n\n{why}\n\n{:#?}", session(&region), region.measures());
@@ -130,13 +138,13 @@
     }
 }
 
-/// A switch fails while a host in the next rack reboots. Four hosts of as many pools are silent
-/// at once; the promises stand, since each was made to survive that, but until spare hosts have
-/// replaced them a second failure would be noticed. The rack comes back after ten minutes.
+/// A switch fails while a host in the next rack reboots, so four hosts of four pools go silent at
+/// once. Budgets are designed to survive that, but until spare hosts have replaced them a second
+/// failure would be noticed. The rack returns after ten minutes.
 #[test]
-fn a_rack_lost_during_its_neighbours_reboot() {
+fn a_rack_lost_during_a_reboot_in_the_previous_rack() {
     for (shape, settings) in both_sites() {
-        let mut region = Region::new(shape.fleet(), Way::Planner, SEED);
+        let mut region = Region::new(shape.fleet(), RolloutStrategy::Planner, SEED);
         region.start_wave(&wave(), settings);
         region.run_for(MINUTE * 20);
         let rebooting = out_for_wave(&region)
@@ -151,19 +159,19 @@
         let lost = explain::host(region.fleet(), &observed, &rack[0]);
         let why = explained(&region, lost, rack[0].as_str());
         region.run_for(MINUTE * 9);
-        let written_off = region.fleet().hosts.values().any(|host| host.failures > 0);
+        let any_failed = region.fleet().hosts.values().any(|host| host.failures > 0);
         region.set_silent(&rack, false);
         let ended = region.run_wave(&wave(), DAY);
         region.run_for(MINUTE * 10);
 
-        assert!(!written_off, "a rack that comes back is not written off");
+        assert!(!any_failed, "a rack that comes back is not written off");
         assert!(ended);
         let golden = format!("{}\n\n{why}\n\n{:#?}", session(&region), region.measures());
         insta::assert_snapshot!(format!("lost_rack_{}", shape.region), golden);
     }
 }
 
-/// The serving hosts of the rack after that of `host`.
+/// The hosts of the rack after that of `host`.
 fn next_rack(region: &Region, host: &HostName) -> Vec<HostName> {
     let fleet = region.fleet();
     let racks: std::collections::BTreeSet<_> =
