--- a/benches/src/reducer.rs
+++ b/benches/src/reducer.rs
@@ -13,8 +13,8 @@
 use borageswitch::{
     control::{
         ControlConfig, Effect, Event, State,
-        event::{OperatorCall, TrafficReport},
-        store::{CallId, KeyValue, LeaseId, StoreAnswer, StoreRequest, Version},
+        event::{OperatorCallId, TrafficReport},
+        store::{CallId, KeyValue, LeaseId, StoreRequest, StoreResponse, Version},
     },
     types::{
         Time,
@@ -92,37 +92,37 @@
 
 impl Store {
     /// Answers at once, or nothing for a watch that would wait.
-    fn answer(&mut self, request: &StoreRequest) -> Option<StoreAnswer> {
+    fn answer(&mut self, request: &StoreRequest) -> Option<StoreResponse> {
         let read = |keys: &BTreeMap<Arc<str>, (Version, Arc<[u8]>)>, key: &Arc<str>| {
             let (version, value) = keys.get(key)?;
             Some(KeyValue { key: key.clone(), version: *version, value: value.clone() })
         };
         self.last += 1;
         Some(match request {
-            StoreRequest::Get { key } => StoreAnswer::Value(read(&self.keys, key)),
+            StoreRequest::Get { key } => StoreResponse::Value(read(&self.keys, key)),
             StoreRequest::Watch { key, after, .. } => {
                 let kv = read(&self.keys, key).filter(|kv| kv.version > *after)?;
-                StoreAnswer::Value(Some(kv))
+                StoreResponse::Value(Some(kv))
             }
             StoreRequest::List { prefix } => {
                 let keys = self.keys.keys().filter(|key| key.starts_with(&**prefix));
-                StoreAnswer::Values(keys.filter_map(|key| read(&self.keys, key)).collect())
+                StoreResponse::Values(keys.filter_map(|key| read(&self.keys, key)).collect())
             }
             StoreRequest::CompareAndSwap { key, expected, value, .. } => {
                 let found = self.keys.get(key).map_or(Version::ABSENT, |(version, _)| *version);
                 if found != *expected {
-                    return Some(StoreAnswer::Conflict);
+                    return Some(StoreResponse::Conflict);
                 }
                 let version = Version(self.last);
                 self.keys.insert(key.clone(), (version, value.clone()));
-                StoreAnswer::Written { version }
+                StoreResponse::Written { version }
             }
-            StoreRequest::Delete { .. } | StoreRequest::RevokeLease { .. } => StoreAnswer::Done,
+            StoreRequest::Delete { .. } | StoreRequest::RevokeLease { .. } => StoreResponse::Done,
             StoreRequest::GrantLease { ttl } => {
-                StoreAnswer::Lease { lease: LeaseId(self.last), ttl: *ttl }
+                StoreResponse::Lease { lease: LeaseId(self.last), ttl: *ttl }
             }
             StoreRequest::KeepAlive { lease } => {
-                StoreAnswer::Lease { lease: *lease, ttl: Duration::from_secs(6) }
+                StoreResponse::Lease { lease: *lease, ttl: Duration::from_secs(6) }
             }
         })
     }
@@ -245,7 +245,7 @@
         for (daemon, call, request, until) in std::mem::take(&mut self.watches) {
             let answer = match self.store.answer(&request) {
                 Some(answer) => answer,
-                None if until <= self.now => StoreAnswer::Value(None),
+                None if until <= self.now => StoreResponse::Value(None),
                 None => {
                     self.watches.push((daemon, call, request, until));
                     continue;
@@ -315,7 +315,7 @@
         change: FleetChange::ApplySite(Box::new(site)),
     };
     let request = OperatorRequest::Change(Box::new(req));
-    Event::Operator { call: OperatorCall(1), request }
+    Event::Operator { call: OperatorCallId(1), request }
 }
 
 /// A site in the proportions of the two-year target.
--- a/crates/borageswitch_control/src/config.rs
+++ b/crates/borageswitch_control/src/config.rs
@@ -47,9 +47,9 @@
     /// How long a daemon's lease lasts without being kept alive; its duties last as long.
     pub duty_ttl: Duration,
     /// How often a heartbeat goes to each neighbour in the tree.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// A daemon that was not heard for this time is silent.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Where peers may listen, for a start while the store is down.
     pub seeds: Vec<SocketAddr>,
     /// Seeds the jitter of waits and the nonces of claims; must differ between daemons.
@@ -66,8 +66,8 @@
             region,
             store_timeout: Duration::from_millis(1_000),
             duty_ttl: Duration::from_secs(6),
-            heartbeat: Duration::from_secs(1),
-            silence: Duration::from_secs(4),
+            heartbeat_interval: Duration::from_secs(1),
+            silence_timeout: Duration::from_secs(4),
             seeds: Vec::new(),
             seed,
             guards: Guards::default(),
--- a/crates/borageswitch_control/src/effect.rs
+++ b/crates/borageswitch_control/src/effect.rs
@@ -13,7 +13,7 @@
 use borageswitch_wire::{PeerMessage, operator::OperatorAnswer, peer::Member};
 
 use crate::{
-    event::OperatorCall,
+    event::OperatorCallId,
     store::{CallId, StoreRequest},
 };
 
@@ -41,7 +41,7 @@
         address: SocketAddr,
     },
     /// Close the connection to a peer and dial no more.
-    DropPeer {
+    DisconnectPeer {
         /// The peer.
         daemon: DaemonName,
     },
@@ -64,14 +64,14 @@
         command: AgentCommand,
     },
     /// Answer an operator.
-    AnswerOperator {
+    RespondToOperator {
         /// Which request.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// The answer.
-        answer: OperatorAnswer,
+        response: OperatorAnswer,
     },
     /// Tell a traffic thread what came of its claim.
-    AnswerClaim {
+    ResolveClaim {
         /// Which claim.
         ticket: ClaimTicket,
         /// What came of it.
@@ -87,7 +87,7 @@
     /// Tell the balancer whether to send new connections.
     SetReady(bool),
     /// Keep a decision for the log and for whoever asks later.
-    Decide {
+    RecordDecision {
         /// What was decided and why, in one sentence.
         text: Arc<str>,
     },
--- a/crates/borageswitch_control/src/event.rs
+++ b/crates/borageswitch_control/src/event.rs
@@ -11,7 +11,7 @@
 };
 use borageswitch_wire::{PeerMessage, operator::OperatorRequest, peer::Member};
 
-use crate::store::{CallId, StoreAnswer, StoreError};
+use crate::store::{CallId, StoreError, StoreResponse};
 
 /// Numbers the requests of operators at one daemon.
 #[derive(
@@ -27,7 +27,7 @@
     serde::Serialize,
     derive_more::Display,
 )]
-pub struct OperatorCall(pub u64);
+pub struct OperatorCallId(pub u64);
 
 /// A host as the platform's list shows it, which lags.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -66,7 +66,7 @@
         /// Which call.
         call: CallId,
         /// What came of it.
-        outcome: Result<StoreAnswer, StoreError>,
+        outcome: Result<StoreResponse, StoreError>,
     },
     /// A peer has proved that it belongs to the site.
     PeerUp {
@@ -100,7 +100,7 @@
     /// An operator asks for something.
     Operator {
         /// Which request, for the answer.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// The request.
         request: OperatorRequest,
     },
--- a/crates/borageswitch_control/src/reducer/admission.rs
+++ b/crates/borageswitch_control/src/reducer/admission.rs
@@ -38,9 +38,9 @@
         let is_admitting = self.now < until && !self.stopping;
         if is_admitting != self.admission.is_admitting {
             self.admission.is_admitting = is_admitting;
-            self.note_admission(is_admitting);
+            self.record_admission(is_admitting);
             self.publish_view();
-            self.beat_soon();
+            self.schedule_heartbeat();
         }
         if self.admission.is_ready != Some(is_admitting) {
             self.admission.is_ready = Some(is_admitting);
@@ -48,13 +48,13 @@
         }
     }
 
-    fn note_admission(&mut self, is_admitting: bool) {
+    fn record_admission(&mut self, is_admitting: bool) {
         let text = match (is_admitting, self.stopping) {
             (true, _) => "takes new work",
             (false, true) => "takes no new work: it is stopping",
             (false, false) => "takes no new work: it has neither a lease nor a majority",
         };
-        self.decide(format!("{} {text}", self.me()));
+        self.record_decision(format!("{} {text}", self.me()));
     }
 
     fn admitted_until(&self) -> Time {
@@ -73,12 +73,12 @@
         if others_needed == 0 {
             return Time::MAX;
         }
-        let heard = &self.members.heard;
-        if heard.values().any(|heard| heard.revision > revision) {
+        let contacts = &self.members.contacts;
+        if contacts.values().any(|contact| contact.revision > revision) {
             return Time::ZERO;
         }
-        let mut times: Vec<Time> = heard.values().map(|heard| heard.at).collect();
+        let mut times: Vec<Time> = contacts.values().map(|contact| contact.at).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
-        times.get(others_needed - 1).map_or(Time::ZERO, |at| *at + self.cfg.silence)
+        times.get(others_needed - 1).map_or(Time::ZERO, |at| *at + self.cfg.silence_timeout)
     }
 }
--- a/crates/borageswitch_control/src/reducer/claims/chain.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain.rs
@@ -29,12 +29,12 @@
 use crate::{
     reducer::{
         claims::{
-            ask::{Ask, Release, Verdict},
+            requests::{ChainRequest, ClaimResolution, Release},
             segment::{Claim, Kind, Segment},
         },
         store_calls::Backoff,
     },
-    store::{StoreAnswer, StoreError, StoreRequest, Version},
+    store::{StoreError, StoreRequest, StoreResponse, Version},
 };
 
 /// A segment is sealed at this length, 20 KB of text, so that an append stays a small write.
@@ -43,17 +43,17 @@
 /// rate of requests; a claim waits 40 ms longer on average while its shard is busy.
 const WRITE_INTERVAL: Duration = Duration::from_millis(80);
 /// The most claims in one write.
-const BATCH: usize = 64;
+const MAX_BATCH_CLAIMS: usize = 64;
 /// The most releases in one write, so that claims have room in each.
-const RELEASES: usize = BATCH / 2;
+const MAX_BATCH_RELEASES: usize = MAX_BATCH_CLAIMS / 2;
 /// The most claims that wait for one shard, and the most releases; more are refused at once.
-const WAITING: usize = 4_096;
+const MAX_WAITING: usize = 4_096;
 /// Wall clocks of daemons differ by less than this.
 const CLOCK_SKEW: Duration = Duration::from_secs(60);
 /// That a segment does not exist is believed for this time. It is far shorter than any window: a
 /// writer that was paused for longer could otherwise create a segment that was created, sealed
 /// and deleted in the meantime, and grant a claim that nobody would ever read.
-const ABSENCE_BELIEVED: Duration = Duration::from_secs(20);
+const ABSENCE_TTL: Duration = Duration::from_secs(20);
 const RETRY_BASE: Duration = Duration::from_millis(60);
 
 /// A call on behalf of a chain.
@@ -66,7 +66,7 @@
     /// Append claims to the last segment, or create it.
     Append,
     /// Delete a segment whose claims may be forgotten.
-    Drop(u64),
+    DeleteSegment(u64),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -98,13 +98,13 @@
     head_segment: Segment,
     absent_at: Time,
     /// When the call was made that last showed the end of the chain.
-    seen_at: Time,
-    waiting: VecDeque<Ask>,
+    end_seen_at: Time,
+    waiting: VecDeque<ChainRequest>,
     /// Releases not yet seen in the chain.
     releases: BTreeMap<ClaimNonce, Release>,
-    batch: Vec<Ask>,
+    batch: Vec<ChainRequest>,
     written: Segment,
-    verdicts: Vec<Verdict>,
+    resolutions: Vec<ClaimResolution>,
     next_write: Time,
     backoff: Backoff,
     pub(super) last_used: Time,
@@ -125,12 +125,12 @@
             head_version: Version::ABSENT,
             head_segment: Segment::default(),
             absent_at: Time::ZERO,
-            seen_at: Time::ZERO,
+            end_seen_at: Time::ZERO,
             waiting: VecDeque::new(),
             releases: BTreeMap::new(),
             batch: Vec::new(),
             written: Segment::default(),
-            verdicts: Vec::new(),
+            resolutions: Vec::new(),
             next_write: Time::ZERO,
             backoff: Backoff::default(),
             last_used: Time::ZERO,
@@ -138,19 +138,19 @@
         }
     }
 
-    pub(super) fn ask(&mut self, now: Time, ask: Ask) {
+    pub(super) fn enqueue(&mut self, now: Time, req: ChainRequest) {
         self.last_used = now;
-        if self.waiting.len() >= WAITING {
-            self.conclude(ask, ClaimOutcome::Unavailable);
+        if self.waiting.len() >= MAX_WAITING {
+            self.resolve(req, ClaimOutcome::Unavailable);
             return;
         }
-        self.waiting.push_back(ask);
+        self.waiting.push_back(req);
     }
 
     /// Takes a release of a claim that was granted and under which nothing can be sent any more.
     pub(super) fn release(&mut self, now: Time, release: Release) {
         self.last_used = now;
-        if self.releases.len() < WAITING {
+        if self.releases.len() < MAX_WAITING {
             self.releases.insert(release.nonce, release);
         }
     }
@@ -167,8 +167,8 @@
         self.waiting.len() + self.batch.len()
     }
 
-    pub(super) fn take_verdicts(&mut self) -> Vec<Verdict> {
-        std::mem::take(&mut self.verdicts)
+    pub(super) fn take_resolutions(&mut self) -> Vec<ClaimResolution> {
+        std::mem::take(&mut self.resolutions)
     }
 
     /// The call to make now, if any; [`Self::answered`] follows before the next one.
@@ -181,11 +181,11 @@
         if self.is_calling || now < self.next_write {
             return None;
         }
-        self.settle_known(now);
+        self.resolve_known(now);
         let call = match self.stage {
-            _ if !self.has_work() => self.forget_call(wall, is_owner)?,
+            _ if !self.has_work() => self.delete_call(wall, is_owner)?,
             Stage::Unloaded => (Step::Load, StoreRequest::List { prefix: self.prefix.clone() }),
-            Stage::Ready if self.is_believed(now) && self.can_append() => {
+            Stage::Ready if self.is_head_known(now) && self.can_append() => {
                 self.append_call(now, wall)
             }
             Stage::HeadUnknown | Stage::Ready => self.read_call(now),
@@ -209,64 +209,66 @@
     /// Whether a write would add anything. Asks whose key is claimed wait for a look at the chain.
     fn can_append(&self) -> bool {
         !self.releases.is_empty()
-            || self.waiting.iter().any(|ask| !self.claimed.contains_key(&ask.key))
+            || self.waiting.iter().any(|req| !self.claimed.contains_key(&req.key))
     }
 
     fn key(&self, number: u64) -> Arc<str> {
         format!("{}{number:012}", self.prefix).into()
     }
 
-    fn is_believed(&self, now: Time) -> bool {
-        self.head_version != Version::ABSENT || now.since(self.absent_at) < ABSENCE_BELIEVED
+    fn is_head_known(&self, now: Time) -> bool {
+        self.head_version != Version::ABSENT || now.since(self.absent_at) < ABSENCE_TTL
     }
 
     /// Ends the asks that are late, and those whose key is claimed. A claim that was known before the
     /// ask came may have been given back through another daemon, so the end of the chain must have
     /// been seen since; and one that is just being given back is waited for.
     /// Ends the releases that are late or seen in the chain.
-    fn settle_known(&mut self, now: Time) {
+    fn resolve_known(&mut self, now: Time) {
         let released = &self.released;
         self.releases.retain(|nonce, release| release.deadline > now && !released.contains(nonce));
-        for ask in std::mem::take(&mut self.waiting) {
-            let known = self.claimed.get(&ask.key).map(|claim| claim.nonce);
+        for req in std::mem::take(&mut self.waiting) {
+            let known = self.claimed.get(&req.key).map(|claim| claim.nonce);
             match known {
                 // However late: whoever asked gives back what comes too late for it.
-                Some(nonce) if nonce == ask.nonce => self.conclude(ask, ClaimOutcome::Granted),
-                _ if ask.deadline <= now || self.released.contains(&ask.nonce) => {
-                    self.conclude(ask, ClaimOutcome::Unavailable);
+                Some(nonce) if nonce == req.nonce => self.resolve(req, ClaimOutcome::Granted),
+                _ if req.deadline <= now || self.released.contains(&req.nonce) => {
+                    self.resolve(req, ClaimOutcome::Unavailable);
                 }
-                Some(nonce) if self.seen_at < ask.since || self.releases.contains_key(&nonce) => {
-                    self.waiting.push_back(ask);
+                Some(nonce)
+                    if self.end_seen_at < req.received_at || self.releases.contains_key(&nonce) =>
+                {
+                    self.waiting.push_back(req);
                 }
-                Some(_) => self.conclude(ask, ClaimOutcome::AlreadyClaimed),
-                None => self.waiting.push_back(ask),
+                Some(_) => self.resolve(req, ClaimOutcome::AlreadyClaimed),
+                None => self.waiting.push_back(req),
             }
         }
     }
 
-    fn conclude(&mut self, ask: Ask, outcome: ClaimOutcome) {
-        let Ask { nonce, asker, .. } = ask;
-        self.verdicts.push(Verdict { nonce, asker, outcome });
+    fn resolve(&mut self, req: ChainRequest, outcome: ClaimOutcome) {
+        let ChainRequest { nonce, requester, .. } = req;
+        self.resolutions.push(ClaimResolution { nonce, requester, outcome });
     }
 
     fn append_call(&mut self, now: Time, wall: UnixMillis) -> (Step, StoreRequest) {
         self.next_write = now + WRITE_INTERVAL;
         let mut next = self.head_segment.clone();
-        for release in self.releases.values().take(RELEASES) {
+        for release in self.releases.values().take(MAX_BATCH_RELEASES) {
             let Release { key, nonce, window, .. } = *release;
             next.claims.push(entry(key, nonce, wall, window, Kind::Released));
         }
-        let room = BATCH - self.releases.len().min(RELEASES);
-        for ask in std::mem::take(&mut self.waiting) {
-            let taken = self.batch.iter().any(|other| other.key == ask.key);
+        let capacity = MAX_BATCH_CLAIMS - self.releases.len().min(MAX_BATCH_RELEASES);
+        for req in std::mem::take(&mut self.waiting) {
+            let taken = self.batch.iter().any(|other| other.key == req.key);
             // A key that is known to be claimed waits for its release to be in the chain.
-            let claimed = self.claimed.contains_key(&ask.key);
-            if taken || claimed || self.batch.len() >= room {
-                self.waiting.push_back(ask);
+            let claimed = self.claimed.contains_key(&req.key);
+            if taken || claimed || self.batch.len() >= capacity {
+                self.waiting.push_back(req);
                 continue;
             }
-            next.claims.push(entry(ask.key, ask.nonce, wall, ask.window, Kind::Made));
-            self.batch.push(ask);
+            next.claims.push(entry(req.key, req.nonce, wall, req.window, Kind::Made));
+            self.batch.push(req);
         }
         next.sealed = next.claims.len() >= SEGMENT_CLAIMS;
         let request = StoreRequest::CompareAndSwap {
@@ -279,75 +281,75 @@
         (Step::Append, request)
     }
 
-    fn forget_call(&mut self, wall: UnixMillis, is_owner: bool) -> Option<(Step, StoreRequest)> {
+    fn delete_call(&mut self, wall: UnixMillis, is_owner: bool) -> Option<(Step, StoreRequest)> {
         let (number, oldest) = self.sealed.first_key_value().filter(|_| is_owner)?;
         let skew = CLOCK_SKEW.as_millis() as u64;
         let is_past = oldest.newest_until.0 + skew < wall.0;
         let request = StoreRequest::Delete { key: self.key(*number), expected: oldest.version };
-        is_past.then_some((Step::Drop(*number), request))
+        is_past.then_some((Step::DeleteSegment(*number), request))
     }
 
     /// Takes the answer to the call that is open.
-    pub(super) fn answered(
+    pub(super) fn on_response(
         &mut self,
         step: Step,
-        asked_at: Time,
+        sent_at: Time,
         now: Time,
-        outcome: Result<StoreAnswer, StoreError>,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
         self.is_calling = false;
-        let failed = matches!(outcome, Err(_) | Ok(StoreAnswer::Conflict));
+        let failed = matches!(outcome, Err(_) | Ok(StoreResponse::Conflict));
         match (step, outcome) {
-            (Step::Load, Ok(StoreAnswer::Values(values))) => {
-                let is_whole = self.load(asked_at, &values);
+            (Step::Load, Ok(StoreResponse::Values(values))) => {
+                let is_whole = self.load(sent_at, &values);
                 self.next_write = if is_whole { now } else { now + RETRY_BASE };
             }
-            (Step::ReadHead, Ok(StoreAnswer::Value(kv))) => self.read_head(asked_at, kv),
-            (Step::Append, Ok(StoreAnswer::Written { version })) => {
-                self.appended(asked_at, version);
+            (Step::ReadHead, Ok(StoreResponse::Value(kv))) => self.read_head(sent_at, kv),
+            (Step::Append, Ok(StoreResponse::Written { version })) => {
+                self.appended(sent_at, version);
             }
             (Step::Append, Err(StoreError::AnswerLost)) if !self.reads_back => {
                 // Without the read-back a lost answer would pass for success.
-                for ask in std::mem::take(&mut self.batch) {
-                    self.conclude(ask, ClaimOutcome::Granted);
+                for req in std::mem::take(&mut self.batch) {
+                    self.resolve(req, ClaimOutcome::Granted);
                 }
                 self.stage = Stage::HeadUnknown;
             }
-            (Step::Append, outcome) => self.not_appended(&outcome),
-            (Step::Drop(number), Ok(StoreAnswer::Done | StoreAnswer::Conflict)) => {
-                self.forget(number);
+            (Step::Append, outcome) => self.append_failed(&outcome),
+            (Step::DeleteSegment(number), Ok(StoreResponse::Done | StoreResponse::Conflict)) => {
+                self.forget_segment(number);
             }
             _ => {}
         }
         match failed {
             true => {
                 let mut rng = fastrand::Rng::with_seed(now.as_micros() ^ self.head);
-                self.next_write = now + self.backoff.next_wait(RETRY_BASE, &mut rng);
+                self.next_write = now + self.backoff.next_delay(RETRY_BASE, &mut rng);
             }
             false => self.backoff.reset(),
         }
     }
 
-    fn appended(&mut self, asked_at: Time, version: Version) {
+    fn appended(&mut self, sent_at: Time, version: Version) {
         let written = std::mem::take(&mut self.written);
-        self.seen_at = asked_at;
+        self.end_seen_at = sent_at;
         let sealed = written.sealed;
         self.take_segment(self.head, version, written);
         if sealed {
             // Nobody could create the next segment before this write sealed the last one.
-            self.absent_at = asked_at;
+            self.absent_at = sent_at;
         }
-        for ask in std::mem::take(&mut self.batch) {
+        for req in std::mem::take(&mut self.batch) {
             // However late: whoever asked gives back what comes too late for it.
-            self.conclude(ask, ClaimOutcome::Granted);
+            self.resolve(req, ClaimOutcome::Granted);
         }
     }
 
     /// The write may or may not have taken effect: the asks wait again, and the segment is read
     /// first unless it is sure that nothing was sent. Their nonces tell whose claims it holds.
-    fn not_appended(&mut self, outcome: &Result<StoreAnswer, StoreError>) {
-        for ask in std::mem::take(&mut self.batch).into_iter().rev() {
-            self.waiting.push_front(ask);
+    fn append_failed(&mut self, outcome: &Result<StoreResponse, StoreError>) {
+        for req in std::mem::take(&mut self.batch).into_iter().rev() {
+            self.waiting.push_front(req);
         }
         let no_effect = matches!(outcome, Err(StoreError::NotSent | StoreError::Refused));
         if !no_effect {
--- a/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
@@ -10,14 +10,14 @@
 
 impl Chain {
     /// Takes the whole chain, and tells whether the list showed a whole one.
-    pub(super) fn load(&mut self, asked_at: Time, values: &[KeyValue]) -> bool {
+    pub(super) fn load(&mut self, sent_at: Time, values: &[KeyValue]) -> bool {
         self.claimed.clear();
         self.released.clear();
         self.sealed.clear();
         self.head = 1;
         self.head_version = Version::ABSENT;
         self.head_segment = Segment::default();
-        self.absent_at = asked_at;
+        self.absent_at = sent_at;
         let last = values.len().saturating_sub(1);
         for (index, kv) in values.iter().enumerate() {
             let number = kv.key.strip_prefix(&*self.prefix).and_then(|text| text.parse().ok());
@@ -33,7 +33,7 @@
         }
         let has_open_end = values.is_empty() || self.head_version != Version::ABSENT;
         if has_open_end {
-            self.seen_at = asked_at;
+            self.end_seen_at = sent_at;
         }
         self.stage = if has_open_end { Stage::Ready } else { Stage::HeadUnknown };
         true
@@ -45,20 +45,20 @@
         let known = if number == self.head { self.head_segment.claims.len() } else { 0 };
         for claim in &segment.claims[known..] {
             match claim.kind {
-                Kind::Made => self.note_claim(*claim),
-                Kind::Released => self.note_release(*claim),
+                Kind::Made => self.add_claim(*claim),
+                Kind::Released => self.add_release(*claim),
             }
         }
         self.head = number;
         self.head_version = version;
         self.head_segment = segment;
         if self.head_segment.sealed {
-            self.go_on();
+            self.advance_head();
         }
     }
 
     /// Goes on to the segment after one that was seen sealed.
-    fn go_on(&mut self) {
+    fn advance_head(&mut self) {
         let segment = std::mem::take(&mut self.head_segment);
         let newest_until = segment.newest_until();
         let sealed = Sealed { version: self.head_version, newest_until, claims: segment.claims };
@@ -72,17 +72,17 @@
     /// When the chain holds two claims of one key, and the first was neither released before the
     /// second was made nor had its window passed by then: a request could have run twice.
     /// When a nonce is claimed after its release.
-    fn note_claim(&mut self, claim: Claim) {
+    fn add_claim(&mut self, claim: Claim) {
         let before = self.claimed.insert(claim.key, claim);
-        let is_kept_out = self.released.contains(&claim.nonce);
-        assert!(!is_kept_out, "the claim {} was made again after its release", claim.nonce);
-        let is_once = |before: Claim| before.nonce == claim.nonce || before.until <= claim.made;
-        assert!(before.is_none_or(is_once), "the key {} is claimed twice", claim.key);
+        let is_released = self.released.contains(&claim.nonce);
+        assert!(!is_released, "the claim {} was made again after its release", claim.nonce);
+        let is_allowed = |before: Claim| before.nonce == claim.nonce || before.until <= claim.made;
+        assert!(before.is_none_or(is_allowed), "the key {} is claimed twice", claim.key);
     }
 
     /// A release of a nonce whose claim is not in the chain changes nothing but that this nonce
     /// is never granted.
-    fn note_release(&mut self, release: Claim) {
+    fn add_release(&mut self, release: Claim) {
         self.released.insert(release.nonce);
         self.releases.remove(&release.nonce);
         if self.claimed.get(&release.key).is_some_and(|claim| claim.nonce == release.nonce) {
@@ -90,12 +90,12 @@
         }
     }
 
-    pub(super) fn read_head(&mut self, asked_at: Time, kv: Option<KeyValue>) {
+    pub(super) fn read_head(&mut self, sent_at: Time, kv: Option<KeyValue>) {
         let Some(kv) = kv else {
             let vanished = self.head_version != Version::ABSENT;
-            self.absent_at = asked_at;
+            self.absent_at = sent_at;
             if !vanished {
-                self.seen_at = asked_at;
+                self.end_seen_at = sent_at;
             }
             self.stage = if vanished { Stage::Unloaded } else { Stage::Ready };
             return;
@@ -104,19 +104,19 @@
             log::error!("the claims under {} cannot be read", kv.key);
             return;
         };
-        if !segment.goes_on_from(&self.head_segment) {
+        if !segment.extends(&self.head_segment) {
             self.stage = Stage::Unloaded;
             return;
         }
         let sealed = segment.sealed;
         self.take_segment(self.head, kv.version, segment);
         if !sealed {
-            self.seen_at = asked_at;
+            self.end_seen_at = sent_at;
         }
         self.stage = if sealed { Stage::HeadUnknown } else { Stage::Ready };
     }
 
-    pub(super) fn forget(&mut self, number: u64) {
+    pub(super) fn forget_segment(&mut self, number: u64) {
         let Some(sealed) = self.sealed.remove(&number) else { return };
         for claim in sealed.claims {
             if claim.kind == Kind::Released {
--- a/crates/borageswitch_control/src/reducer/claims/mod.rs
+++ b/crates/borageswitch_control/src/reducer/claims/mod.rs
@@ -10,8 +10,8 @@
 //! back, once, and only when it can no longer send: when its traffic threads say so, or when the
 //! grant came too late for them and they were told that there is none.
 
-mod ask;
 mod chain;
+mod requests;
 mod segment;
 #[cfg(test)]
 mod tests;
@@ -36,13 +36,13 @@
 use sha2::Digest;
 
 use self::{
-    ask::{Ask, Asker, Release, Verdict},
     chain::Chain,
+    requests::{ChainRequest, ClaimResolution, Release, Requester},
 };
 use crate::{
     effect::Effect,
     reducer::{State, store_calls::Purpose},
-    store::{StoreAnswer, StoreError},
+    store::{StoreError, StoreResponse},
 };
 
 pub(super) use self::chain::Step;
@@ -50,16 +50,16 @@
 /// How many chains there are. More would spread the load finer and cost more writes.
 const SHARDS: u8 = 8;
 /// An entry that has no answer from the shard's owner in this time writes the claim itself.
-const OWNER_PATIENCE: Duration = Duration::from_millis(400);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 /// A chain that was not used for this time is forgotten by everyone but its owner.
 const CHAIN_IDLE: Duration = Duration::from_secs(60);
 /// The most claims that one entry waits for, and the most grants that it remembers in order to
 /// give them back: 22 a second for 600 s are 13,200. What is forgotten can not be given back.
-const MOST_PENDING: usize = 16_384;
+const MAX_PENDING: usize = 16_384;
 /// For how long after its deadline a claim that is granted after all is given back.
-const LATE_GRANTS: Duration = Duration::from_secs(10);
+const LATE_GRANT_WINDOW: Duration = Duration::from_secs(10);
 /// For how long the shard's writer tries to write a release.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(60);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A claim that a traffic thread of this daemon waits for.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     window: Duration,
     deadline: Time,
     /// When the claim is written here, should the shard's owner not answer.
-    take_over_at: Option<Time>,
+    fallback_at: Option<Time>,
 }
 
 /// A claim that was granted to a traffic thread of this daemon.
@@ -122,8 +122,8 @@
 impl State {
     pub(super) fn claim(&mut self, claim: &ClaimRequest) {
         let late = claim.deadline <= self.now;
-        if late || self.claims.pending.len() >= MOST_PENDING || self.exited {
-            self.answer_claim(claim.ticket, ClaimOutcome::Unavailable);
+        if late || self.claims.pending.len() >= MAX_PENDING || self.exited {
+            self.resolve_claim(claim.ticket, ClaimOutcome::Unavailable);
             return;
         }
         let key = key_of(claim);
@@ -132,17 +132,17 @@
         let window = self.claim_window(claim);
         let deadline = claim.deadline;
         let owner = self.shard_owner(shard_of(key));
-        let here = owner == *self.me();
-        let take_over_at = (!here).then(|| self.now + OWNER_PATIENCE);
-        let pending = Pending { ticket: Some(ticket), key, window, deadline, take_over_at };
+        let is_owner = owner == *self.me();
+        let fallback_at = (!is_owner).then(|| self.now + OWNER_TIMEOUT);
+        let pending = Pending { ticket: Some(ticket), key, window, deadline, fallback_at };
         self.claims.pending.insert(nonce, pending);
-        if here {
-            self.claim_here(nonce);
+        if is_owner {
+            self.claim_locally(nonce);
             return;
         }
         let wait = deadline.since(self.now);
-        let ask = ClaimAsk { key, nonce, window, wait };
-        self.send(&owner, PeerMessage::ClaimAsks(vec![ask]));
+        let req = ClaimAsk { key, nonce, window, wait };
+        self.send(&owner, PeerMessage::ClaimAsks(vec![req]));
     }
 
     fn claim_window(&self, claim: &ClaimRequest) -> Duration {
@@ -159,18 +159,25 @@
         owner.unwrap_or(self.me()).clone()
     }
 
-    fn claim_here(&mut self, nonce: ClaimNonce) {
+    fn claim_locally(&mut self, nonce: ClaimNonce) {
         let Some(pending) = self.claims.pending.get_mut(&nonce) else { return };
-        pending.take_over_at = None;
+        pending.fallback_at = None;
         let Pending { key, window, deadline, .. } = *pending;
-        let since = self.now;
-        self.gather(Ask { key, nonce, window, since, deadline, asker: Asker::Here });
+        let received_at = self.now;
+        self.enqueue_claim(ChainRequest {
+            key,
+            nonce,
+            window,
+            received_at,
+            deadline,
+            requester: Requester::Local,
+        });
     }
 
-    fn gather(&mut self, ask: Ask) {
-        let shard = shard_of(ask.key);
+    fn enqueue_claim(&mut self, req: ChainRequest) {
+        let shard = shard_of(req.key);
         let now = self.now;
-        self.chain(shard).ask(now, ask);
+        self.chain(shard).enqueue(now, req);
         self.drive_chain(shard);
     }
 
@@ -185,64 +192,73 @@
         let is_owner = self.shard_owner(shard) == *self.me();
         let chain = self.chain(shard);
         let call = chain.next_call(now, wall, is_owner);
-        let verdicts = chain.take_verdicts();
+        let resolutions = chain.take_resolutions();
         if let Some((step, request)) = call {
             let timeout = self.cfg.store_timeout;
             self.call_store(Purpose::Claims(shard, step), request, timeout);
         }
-        self.deliver(verdicts);
+        self.deliver(resolutions);
     }
 
-    pub(super) fn claims_answered(
+    pub(super) fn claims_store_response(
         &mut self,
         shard: u8,
         step: Step,
-        asked_at: Time,
-        outcome: Result<StoreAnswer, StoreError>,
+        sent_at: Time,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
         let now = self.now;
         let chain = self.chain(shard);
-        chain.answered(step, asked_at, now, outcome);
-        let verdicts = chain.take_verdicts();
-        self.deliver(verdicts);
+        chain.on_response(step, sent_at, now, outcome);
+        let resolutions = chain.take_resolutions();
+        self.deliver(resolutions);
         self.drive_chain(shard);
     }
 
-    fn deliver(&mut self, verdicts: Vec<Verdict>) {
-        let mut answers: BTreeMap<DaemonName, Vec<(ClaimNonce, ClaimOutcome)>> = BTreeMap::new();
-        for Verdict { nonce, asker, outcome } in verdicts {
-            match asker {
-                Asker::Here => self.claim_concluded(nonce, outcome),
-                Asker::Peer(daemon) => answers.entry(daemon).or_default().push((nonce, outcome)),
+    fn deliver(&mut self, resolutions: Vec<ClaimResolution>) {
+        let mut responses: BTreeMap<DaemonName, Vec<(ClaimNonce, ClaimOutcome)>> = BTreeMap::new();
+        for ClaimResolution { nonce, requester, outcome } in resolutions {
+            match requester {
+                Requester::Local => self.claim_resolved(nonce, outcome),
+                Requester::Peer(daemon) => {
+                    responses.entry(daemon).or_default().push((nonce, outcome))
+                }
             }
         }
-        for (daemon, answers) in answers {
-            self.send(&daemon, PeerMessage::ClaimAnswers(answers));
+        for (daemon, responses) in responses {
+            self.send(&daemon, PeerMessage::ClaimAnswers(responses));
         }
     }
 
-    pub(super) fn claims_asked(&mut self, from: &DaemonName, asks: Vec<ClaimAsk>) {
-        for ClaimAsk { key, nonce, window, wait } in asks {
+    pub(super) fn claim_requests_received(&mut self, from: &DaemonName, requests: Vec<ClaimAsk>) {
+        for ClaimAsk { key, nonce, window, wait } in requests {
             let deadline = self.now + wait;
-            let asker = Asker::Peer(from.clone());
-            let since = self.now;
-            self.gather(Ask { key, nonce, window, since, deadline, asker });
+            let requester = Requester::Peer(from.clone());
+            let received_at = self.now;
+            self.enqueue_claim(ChainRequest {
+                key,
+                nonce,
+                window,
+                received_at,
+                deadline,
+                requester,
+            });
         }
     }
 
     /// Each ticket is answered once: whoever comes second finds it gone.
-    pub(super) fn claim_concluded(&mut self, nonce: ClaimNonce, outcome: ClaimOutcome) {
+    pub(super) fn claim_resolved(&mut self, nonce: ClaimNonce, outcome: ClaimOutcome) {
         let now = self.now;
         let Some(pending) = self.claims.pending.get_mut(&nonce) else { return };
         let ticket = pending.ticket.take();
         let Pending { key, window, deadline, .. } = *pending;
         let in_time = now < deadline;
-        pending.take_over_at = None;
+        pending.fallback_at = None;
         if outcome != ClaimOutcome::Unavailable {
             self.claims.pending.remove(&nonce);
         }
         if let Some(ticket) = ticket {
-            self.answer_claim(ticket, if in_time { outcome } else { ClaimOutcome::Unavailable });
+            self.resolve_claim(ticket, if in_time { outcome } else { ClaimOutcome::Unavailable });
         }
         match (outcome, ticket.filter(|_| in_time)) {
             (ClaimOutcome::Granted, Some(ticket)) => {
@@ -250,7 +266,7 @@
                 self.claims.granted.insert(ticket, Granted { key, nonce, window, until });
             }
             // Nobody was told of this claim, so nothing can be sent under it.
-            (ClaimOutcome::Granted, None) => self.give_back(key, nonce, window),
+            (ClaimOutcome::Granted, None) => self.release_to_owner(key, nonce, window),
             _ => {}
         }
     }
@@ -259,21 +275,21 @@
     pub(super) fn release_claim(&mut self, ticket: ClaimTicket) {
         // A ticket that was never granted, or is given back already, is not among them.
         let Some(granted) = self.claims.granted.remove(&ticket) else { return };
-        self.give_back(granted.key, granted.nonce, granted.window);
+        self.release_to_owner(granted.key, granted.nonce, granted.window);
     }
 
-    fn give_back(&mut self, key: ClaimKey, nonce: ClaimNonce, window: Duration) {
+    fn release_to_owner(&mut self, key: ClaimKey, nonce: ClaimNonce, window: Duration) {
         let owner = self.shard_owner(shard_of(key));
         let release = ClaimRelease { key, nonce, window };
         match owner == *self.me() {
-            true => self.claims_released(vec![release]),
+            true => self.claim_releases_received(vec![release]),
             false => self.send(&owner, PeerMessage::ClaimReleases(vec![release])),
         }
     }
 
-    pub(super) fn claims_released(&mut self, releases: Vec<ClaimRelease>) {
+    pub(super) fn claim_releases_received(&mut self, releases: Vec<ClaimRelease>) {
         let now = self.now;
-        let deadline = now + RELEASE_PATIENCE;
+        let deadline = now + RELEASE_TIMEOUT;
         for ClaimRelease { key, nonce, window } in releases {
             let shard = shard_of(key);
             self.chain(shard).release(now, Release { key, nonce, window, deadline });
@@ -282,7 +298,7 @@
     }
 
     /// Forgets the oldest grants, which are no longer given back: their claims stand.
-    fn forget_grants(&mut self) {
+    fn expire_grants(&mut self) {
         let now = self.now;
         let granted = &mut self.claims.granted;
         while let Some(oldest) = granted.first_entry()
@@ -290,27 +306,28 @@
         {
             oldest.remove();
         }
-        while granted.len() > MOST_PENDING {
+        while granted.len() > MAX_PENDING {
             granted.pop_first();
         }
     }
 
-    fn answer_claim(&mut self, ticket: ClaimTicket, outcome: ClaimOutcome) {
-        self.effects.push(Effect::AnswerClaim { ticket, outcome });
+    fn resolve_claim(&mut self, ticket: ClaimTicket, outcome: ClaimOutcome) {
+        self.effects.push(Effect::ResolveClaim { ticket, outcome });
     }
 
     pub(super) fn claims_tick(&mut self) {
         let now = self.now;
-        self.forget_grants();
-        self.claims.pending.retain(|_, p| p.ticket.is_some() || now < p.deadline + LATE_GRANTS);
+        self.expire_grants();
+        self.claims
+            .pending
+            .retain(|_, p| p.ticket.is_some() || now < p.deadline + LATE_GRANT_WINDOW);
         let due = self.claims.pending.iter().filter(|(_, p)| p.ticket.is_some());
-        let due =
-            due.filter(|(_, p)| p.deadline <= now || p.take_over_at.is_some_and(|t| t <= now));
+        let due = due.filter(|(_, p)| p.deadline <= now || p.fallback_at.is_some_and(|t| t <= now));
         let due: Vec<(ClaimNonce, bool)> = due.map(|(n, p)| (*n, p.deadline <= now)).collect();
         for (nonce, late) in due {
             match late {
-                true => self.claim_concluded(nonce, ClaimOutcome::Unavailable),
-                false => self.claim_here(nonce),
+                true => self.claim_resolved(nonce, ClaimOutcome::Unavailable),
+                false => self.claim_locally(nonce),
             }
         }
         for shard in 0..SHARDS {
--- a/crates/borageswitch_control/src/reducer/claims/ask.rs
+++ b/crates/borageswitch_control/src/reducer/claims/requests.rs
@@ -10,21 +10,21 @@
 
 /// Who asked for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
-    Here,
+pub(super) enum Requester {
+    Local,
     Peer(DaemonName),
 }
 
 /// A claim that waits for the store.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
+pub(super) struct ChainRequest {
     pub(super) key: ClaimKey,
     pub(super) nonce: ClaimNonce,
     pub(super) window: Duration,
     /// When it was asked for here.
-    pub(super) since: Time,
+    pub(super) received_at: Time,
     pub(super) deadline: Time,
-    pub(super) asker: Asker,
+    pub(super) requester: Requester,
 }
 
 /// A claim that is to be given back. Should it not reach the store in time, the claim stands.
@@ -38,8 +38,8 @@
 
 /// What came of an ask.
 #[derive(Clone, Debug)]
-pub(super) struct Verdict {
+pub(super) struct ClaimResolution {
     pub(super) nonce: ClaimNonce,
-    pub(super) asker: Asker,
+    pub(super) requester: Requester,
     pub(super) outcome: ClaimOutcome,
 }
--- a/crates/borageswitch_control/src/reducer/claims/segment.rs
+++ b/crates/borageswitch_control/src/reducer/claims/segment.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether this is `before` with nothing or more lines after it, as all later values must be.
-    pub(super) fn goes_on_from(&self, before: &Segment) -> bool {
+    pub(super) fn extends(&self, before: &Segment) -> bool {
         self.claims.starts_with(&before.claims)
     }
 
--- a/crates/borageswitch_control/src/reducer/claims/tests.rs
+++ b/crates/borageswitch_control/src/reducer/claims/tests.rs
@@ -6,37 +6,37 @@
 use std::time::Duration;
 
 use super::{
-    ask::{Ask, Asker, Release},
     chain::{Chain, Step},
+    requests::{ChainRequest, Release, Requester},
     segment::{Claim, Kind, Segment},
 };
-use crate::store::{KeyValue, StoreAnswer, StoreError, StoreRequest, Version};
+use crate::store::{KeyValue, StoreError, StoreRequest, StoreResponse, Version};
 
 const WALL: UnixMillis = UnixMillis(1_000_000);
 
-fn ask(key: u128, nonce: u64) -> Ask {
-    Ask {
+fn chain_request(key: u128, nonce: u64) -> ChainRequest {
+    ChainRequest {
         key: ClaimKey(key),
         nonce: ClaimNonce(nonce),
         window: Duration::from_secs(600),
-        since: Time::ZERO,
+        received_at: Time::ZERO,
         deadline: Time::from_millis(10_000),
-        asker: Asker::Here,
+        requester: Requester::Local,
     }
 }
 
 fn loaded_chain() -> Chain {
     let mut chain = Chain::new("claims/0/".into(), true);
-    chain.ask(Time::ZERO, ask(99, 99));
+    chain.enqueue(Time::ZERO, chain_request(99, 99));
     let (step, _) = chain.next_call(Time::ZERO, WALL, true).expect("the chain is loaded first");
     assert_eq!(step, Step::Load);
-    let none = Ok(StoreAnswer::Values(vec![]));
-    chain.answered(step, Time::ZERO, Time::ZERO, none);
+    let none = Ok(StoreResponse::Values(vec![]));
+    chain.on_response(step, Time::ZERO, Time::ZERO, none);
     chain
 }
 
 fn outcomes(chain: &mut Chain) -> Vec<(u64, ClaimOutcome)> {
-    chain.take_verdicts().into_iter().map(|v| (v.nonce.0, v.outcome)).collect()
+    chain.take_resolutions().into_iter().map(|v| (v.nonce.0, v.outcome)).collect()
 }
 
 #[test]
@@ -62,13 +62,13 @@
     let (step, request) = chain.next_call(now, WALL, true).expect("an append");
     let StoreRequest::CompareAndSwap { key, value, .. } = request else { panic!("{request:?}") };
 
-    chain.answered(step, now, now, Err(StoreError::AnswerLost));
+    chain.on_response(step, now, now, Err(StoreError::AnswerLost));
     assert_eq!(outcomes(&mut chain), []);
     let later = Time::from_millis(500);
     let (step, _) = chain.next_call(later, WALL, true).expect("a read");
     assert_eq!(step, Step::ReadHead);
     let kv = KeyValue { key, version: Version(5), value };
-    chain.answered(step, later, later, Ok(StoreAnswer::Value(Some(kv))));
+    chain.on_response(step, later, later, Ok(StoreResponse::Value(Some(kv))));
     chain.next_call(later, WALL, true);
 
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Granted)]);
@@ -91,12 +91,12 @@
     };
     let segment = Segment { claims: vec![winner], sealed: false };
 
-    chain.answered(step, now, now, Ok(StoreAnswer::Conflict));
+    chain.on_response(step, now, now, Ok(StoreResponse::Conflict));
     let later = Time::from_millis(500);
     let (step, _) = chain.next_call(later, WALL, true).expect("a read");
     let value = segment.to_text().into_bytes().into();
     let kv = KeyValue { key, version: Version(5), value };
-    chain.answered(step, later, later, Ok(StoreAnswer::Value(Some(kv))));
+    chain.on_response(step, later, later, Ok(StoreResponse::Value(Some(kv))));
     chain.next_call(later, WALL, true);
 
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::AlreadyClaimed)]);
@@ -109,7 +109,7 @@
     let now = Time::from_millis(10);
     let (step, _) = chain.next_call(now, WALL, true).expect("an append");
 
-    chain.answered(step, now, now, Err(StoreError::NotSent));
+    chain.on_response(step, now, now, Err(StoreError::NotSent));
     chain.next_call(Time::from_millis(10_001), WALL, true);
 
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Unavailable)]);
@@ -122,15 +122,15 @@
     let mut chain = loaded_chain();
     let mut now = Time::from_millis(10);
     for key in 0..400 {
-        chain.ask(now, ask(1_000 + key, key as u64));
+        chain.enqueue(now, chain_request(1_000 + key, key as u64));
     }
     let mut keys = Vec::new();
     for version in 1..=8 {
         let Some((step, request)) = chain.next_call(now, WALL, true) else { break };
         let StoreRequest::CompareAndSwap { key, .. } = request else { panic!("{request:?}") };
         keys.push(key.to_string());
-        let written = Ok(StoreAnswer::Written { version: Version(version) });
-        chain.answered(step, now, now, written);
+        let written = Ok(StoreResponse::Written { version: Version(version) });
+        chain.on_response(step, now, now, written);
         now += Duration::from_millis(100);
     }
 
@@ -149,8 +149,8 @@
         let Some((step, request)) = chain.next_call(*now, WALL, false) else { break };
         let StoreRequest::CompareAndSwap { value, .. } = request else { panic!("{request:?}") };
         last = Segment::from_bytes(&value);
-        let written = Ok(StoreAnswer::Written { version: Version(version) });
-        chain.answered(step, *now, *now, written);
+        let written = Ok(StoreResponse::Written { version: Version(version) });
+        chain.on_response(step, *now, *now, written);
     }
     last
 }
@@ -171,18 +171,18 @@
     let mut now = Time::from_millis(10);
     write_all(&mut chain, &mut now);
     chain.release(now, release(99, 99));
-    chain.ask(now, ask(99, 100));
+    chain.enqueue(now, chain_request(99, 100));
 
     let written = write_all(&mut chain, &mut now).expect("writes");
-    chain.ask(now, Ask { since: now, ..ask(99, 99) });
+    chain.enqueue(now, ChainRequest { received_at: now, ..chain_request(99, 99) });
     write_all(&mut chain, &mut now);
     let granted = outcomes(&mut chain);
     let mut other = Chain::new("claims/0/".into(), true);
-    other.ask(now, Ask { since: now, ..ask(99, 101) });
+    other.enqueue(now, ChainRequest { received_at: now, ..chain_request(99, 101) });
     let (step, _) = other.next_call(now, WALL, true).expect("a load");
     let value = written.to_text().into_bytes().into();
     let kv = KeyValue { key: "claims/0/000000000001".into(), version: Version(12), value };
-    other.answered(step, now, now, Ok(StoreAnswer::Values(vec![kv])));
+    other.on_response(step, now, now, Ok(StoreResponse::Values(vec![kv])));
     other.next_call(now, WALL, true);
 
     assert_eq!(
@@ -207,7 +207,7 @@
 
     let written = write_all(&mut chain, &mut now).expect("the release is written");
     chain.release(now, release(99, 7));
-    chain.ask(now, ask(99, 100));
+    chain.enqueue(now, chain_request(99, 100));
     let again = write_all(&mut chain, &mut now);
 
     assert_eq!(written.claims.len(), 2);
@@ -228,12 +228,12 @@
     let late = Claim { kind: Kind::Released, ..first };
     let segment = Segment { claims: vec![first, second, late], sealed: false };
     let mut chain = Chain::new("claims/0/".into(), true);
-    chain.ask(Time::ZERO, ask(6, 6));
+    chain.enqueue(Time::ZERO, chain_request(6, 6));
     let (step, _) = chain.next_call(Time::ZERO, WALL, true).expect("a load");
 
     let value = segment.to_text().into_bytes().into();
     let kv = KeyValue { key: "claims/0/000000000001".into(), version: Version(5), value };
-    chain.answered(step, Time::ZERO, Time::ZERO, Ok(StoreAnswer::Values(vec![kv])));
+    chain.on_response(step, Time::ZERO, Time::ZERO, Ok(StoreResponse::Values(vec![kv])));
 }
 
 /// Another daemon has written a release that this one has not read. A resend must not be refused
@@ -245,13 +245,13 @@
     let mut segment = write_all(&mut chain, &mut now).expect("a write");
     let first = segment.claims[0];
     segment.claims.push(Claim { kind: Kind::Released, ..first });
-    chain.ask(now, Ask { since: now, ..ask(99, 100) });
+    chain.enqueue(now, ChainRequest { received_at: now, ..chain_request(99, 100) });
 
     let (step, _) = chain.next_call(now, WALL, true).expect("a read");
     assert_eq!(step, Step::ReadHead);
     let value = segment.to_text().into_bytes().into();
     let kv = KeyValue { key: "claims/0/000000000001".into(), version: Version(11), value };
-    chain.answered(step, now, now, Ok(StoreAnswer::Value(Some(kv))));
+    chain.on_response(step, now, now, Ok(StoreResponse::Value(Some(kv))));
     write_all(&mut chain, &mut now);
 
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Granted), (100, ClaimOutcome::Granted)]);
--- a/crates/borageswitch_control/src/reducer/drains.rs
+++ b/crates/borageswitch_control/src/reducer/drains.rs
@@ -14,18 +14,18 @@
 };
 use borageswitch_wire::peer::Progress;
 
-use crate::reducer::{State, members::Known};
+use crate::reducer::{State, members::KnownMember};
 
 /// The epoch of a host, and when and at which revision this daemon first saw it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct EpochSeen {
+pub(super) struct KnownEpoch {
     pub(super) epoch: u64,
     pub(super) revision: Revision,
 }
 
 /// Why a leaving host is not drained.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
-pub(super) enum Undrained {
+pub(super) enum DrainBlocker {
     #[display("this daemon's traffic threads do not send by the new revision yet")]
     NotApplied,
     #[display("this daemon has {_0} requests in flight there")]
@@ -54,26 +54,26 @@
     }
 
     /// Keeps the epochs and the leaving hosts in step with the document.
-    pub(super) fn note_phases(&mut self) {
+    pub(super) fn refresh_phases(&mut self) {
         let Some(fleet) = self.sync.fleet().cloned() else { return };
-        self.forget_hosts();
+        self.remove_unknown_hosts();
         let before = std::mem::take(&mut self.leaving);
         for (name, host) in &fleet.hosts {
-            self.note_epoch(name, host, fleet.revision);
+            self.refresh_epoch(name, host, fleet.revision);
             if matches!(host.phase, HostPhase::Leaving { .. }) {
                 self.leaving.insert(name.clone());
             }
         }
         if !self.leaving.is_subset(&before) {
-            self.list_soon();
+            self.schedule_member_list();
         }
     }
 
-    fn note_epoch(&mut self, name: &HostName, host: &Host, revision: Revision) {
+    fn refresh_epoch(&mut self, name: &HostName, host: &Host, revision: Revision) {
         if self.epochs.get(name).is_some_and(|seen| seen.epoch == host.epoch) {
             return;
         }
-        let seen = EpochSeen { epoch: host.epoch, revision };
+        let seen = KnownEpoch { epoch: host.epoch, revision };
         self.epochs.insert(name.clone(), seen);
         self.observed.phase_since.insert(name.clone(), self.now);
     }
@@ -85,92 +85,98 @@
     }
 
     /// Why a leaving host is not drained, or nothing if it is and the planner may go on.
-    fn undrained(&self, host: &HostName) -> Option<Undrained> {
+    fn undrained(&self, host: &HostName) -> Option<DrainBlocker> {
         let seen = self.epochs.get(host)?;
         let covered = self.members.list_covers.is_some_and(|covered| covered >= seen.revision);
-        match self.undrained_here(host) {
-            None if !covered && self.cfg.guards.acknowledgements => Some(Undrained::NoList),
+        match self.local_drain_blocker(host) {
+            None if !covered && self.cfg.guards.acknowledgements => Some(DrainBlocker::NoList),
             undrained => undrained,
         }
     }
 
     /// Why a leaving host is not drained, as far as this daemon can tell without the list of
     /// members, which only the planner reads often.
-    pub(super) fn undrained_here(&self, host: &HostName) -> Option<Undrained> {
+    pub(super) fn local_drain_blocker(&self, host: &HostName) -> Option<DrainBlocker> {
         let seen = self.epochs.get(host)?;
         if self.traffic.applied < seen.revision {
-            return Some(Undrained::NotApplied);
+            return Some(DrainBlocker::NotApplied);
         }
         match self.traffic.draining.get(host).copied().unwrap_or(0) {
             0 => {}
-            in_flight => return Some(Undrained::InFlight(in_flight)),
+            in_flight => return Some(DrainBlocker::InFlight(in_flight)),
         }
         if !self.cfg.guards.acknowledgements {
             return None;
         }
-        self.unconfirmed(host, seen.epoch)
+        self.missing_confirmation(host, seen.epoch)
     }
 
-    fn unconfirmed(&self, host: &HostName, epoch: u64) -> Option<Undrained> {
-        let patience = self.patience(host);
+    fn missing_confirmation(&self, host: &HostName, epoch: u64) -> Option<DrainBlocker> {
+        let drain_timeout = self.drain_timeout(host);
         let mut confirmed_at = Vec::new();
         for (daemon, known) in &self.members.known {
             match self.confirmation(daemon, host, epoch) {
                 Some(at) => confirmed_at.push(at),
-                None if self.is_surely_gone(daemon, known, patience) => {}
+                None if self.has_surely_stopped(daemon, known, drain_timeout) => {}
                 None => {
                     let detail = if self.may_be_alive(daemon) { "" } else { " and is silent" };
-                    return Some(Undrained::Waits { daemon: daemon.clone(), detail });
+                    return Some(DrainBlocker::Waits { daemon: daemon.clone(), detail });
                 }
             }
         }
-        self.unseen(&confirmed_at)
+        self.unknown_daemons(&confirmed_at)
     }
 
     /// Whether daemons that this one does not know of might still serve by an old document.
-    fn unseen(&self, confirmed_at: &[Time]) -> Option<Undrained> {
+    fn unknown_daemons(&self, confirmed_at: &[Time]) -> Option<DrainBlocker> {
         let expected = self.sync.fleet().map_or(0, |fleet| fleet.entries_expected);
         let needed = usize::from(expected / 2) + 1;
         let confirmed = confirmed_at.len() + 1;
         if confirmed < needed {
-            return Some(Undrained::NoMajority { confirmed, needed });
+            return Some(DrainBlocker::NoMajority { confirmed, needed });
         }
         let last = confirmed_at.iter().max().copied().unwrap_or_default();
-        let settled = last + self.cfg.silence <= self.now;
+        let settled = last + self.cfg.silence_timeout <= self.now;
         let all_seen = confirmed >= usize::from(expected);
-        (!all_seen && !settled).then_some(Undrained::Unseen)
+        (!all_seen && !settled).then_some(DrainBlocker::Unseen)
     }
 
     fn confirmation(&self, daemon: &DaemonName, host: &HostName, epoch: u64) -> Option<Time> {
-        let heard = self.members.heard.get(daemon)?;
-        let (acked, at) = heard.acks.get(host)?;
+        let contact = self.members.contacts.get(daemon)?;
+        let (acked, at) = contact.acks.get(host)?;
         (*acked == epoch).then_some(*at)
     }
 
     /// Whether a daemon has been silent, and without a lease, so long that it has stopped taking
     /// work by itself and every request of its has ended.
-    fn is_surely_gone(&self, daemon: &DaemonName, known: &Known, patience: Duration) -> bool {
+    fn has_surely_stopped(
+        &self,
+        daemon: &DaemonName,
+        known: &KnownMember,
+        drain_timeout: Duration,
+    ) -> bool {
         let lease_ended = match &known.listed {
             Some(listed) => listed.gone_since,
             // Never listed: it has never held a lease while this daemon has known it.
             None => Some(known.first_known),
         };
         let Some(lease_ended) = lease_ended else { return false };
-        let heard = self.members.heard.get(daemon).map_or(Time::ZERO, |heard| heard.at);
-        let last = lease_ended.max(heard).max(known.first_known);
-        last + self.cfg.silence + patience <= self.now
+        let last_contact =
+            self.members.contacts.get(daemon).map_or(Time::ZERO, |contact| contact.at);
+        let last = lease_ended.max(last_contact).max(known.first_known);
+        last + self.cfg.silence_timeout + drain_timeout <= self.now
     }
 
     /// The longest time that a request may be in flight on a host.
-    fn patience(&self, host: &HostName) -> Duration {
+    fn drain_timeout(&self, host: &HostName) -> Duration {
         let Some(fleet) = self.sync.fleet() else { return Duration::ZERO };
         let Some(record) = fleet.hosts.get(host) else { return Duration::ZERO };
         self.longest_deadline(|pool| *pool == record.pool)
     }
 
     /// The longest time that a crashed daemon may matter for any host.
-    pub(super) fn longest_patience(&self) -> Duration {
-        self.longest_deadline(|_| true) + self.cfg.silence
+    pub(super) fn longest_drain_timeout(&self) -> Duration {
+        self.longest_deadline(|_| true) + self.cfg.silence_timeout
     }
 
     fn longest_deadline<F>(&self, in_pool: F) -> Duration
--- a/crates/borageswitch_control/src/reducer/duties.rs
+++ b/crates/borageswitch_control/src/reducer/duties.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     reducer::{State, store_calls::Purpose, writing::Origin},
-    store::{LeaseId, StoreAnswer, StoreError, StoreRequest, Version},
+    store::{LeaseId, StoreError, StoreRequest, StoreResponse, Version},
 };
 
 const RETRY_BASE: Duration = Duration::from_millis(500);
@@ -83,7 +83,8 @@
         for duty in [Duty::Planner, self.relay_duty()] {
             let state = self.duties.states.entry(duty.clone()).or_default();
             let due = state.stage == Stage::Idle && state.next_try <= self.now;
-            if let (true, None, Some(lease)) = (due, self.holder_heard(&duty), self.session.lease())
+            if let (true, None, Some(lease)) =
+                (due, self.recent_holder(&duty), self.session.lease())
             {
                 self.claim_duty(&duty, lease);
             }
@@ -106,37 +107,37 @@
         self.duties.states.entry(duty.clone()).or_default().stage = stage;
     }
 
-    pub(super) fn duty_answered(
+    pub(super) fn duty_response(
         &mut self,
         duty: &Duty,
         step: Step,
-        outcome: Result<StoreAnswer, StoreError>,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
         let (Step::Claim(lease) | Step::ReadBack(lease)) = step;
         if self.session.lease() != Some(lease) {
             // The lease ended while the answer was on its way, and the key with it.
-            self.duty_not_won(duty);
+            self.duty_not_acquired(duty);
             return;
         }
         match outcome {
-            Ok(StoreAnswer::Written { version }) => self.duty_won(duty, version),
-            Ok(StoreAnswer::Value(Some(kv))) if &*kv.value == self.me().as_str().as_bytes() => {
-                self.duty_won(duty, kv.version);
+            Ok(StoreResponse::Written { version }) => self.duty_acquired(duty, version),
+            Ok(StoreResponse::Value(Some(kv))) if &*kv.value == self.me().as_str().as_bytes() => {
+                self.duty_acquired(duty, kv.version);
             }
             Err(StoreError::AnswerLost) => {
                 let request = StoreRequest::Get { key: self.duty_key(duty) };
                 let purpose = Purpose::Duty(duty.clone(), Step::ReadBack(lease));
                 self.call_store(purpose, request, self.cfg.store_timeout);
             }
-            _ => self.duty_not_won(duty),
+            _ => self.duty_not_acquired(duty),
         }
     }
 
-    fn duty_won(&mut self, duty: &Duty, version: Version) {
+    fn duty_acquired(&mut self, duty: &Duty, version: Version) {
         let fence = Fence(version.0);
         self.set_stage(duty, Stage::Held(fence));
-        self.decide(format!("{} takes {duty} with fence {fence}", self.me()));
-        self.beat_soon();
+        self.record_decision(format!("{} takes {duty} with fence {fence}", self.me()));
+        self.schedule_heartbeat();
         if *duty == Duty::Planner {
             self.list_members();
             let req = self.holder_request(
@@ -161,7 +162,7 @@
         ChangeRequest { operation: self.new_operation(), expected: None, author, reason, change }
     }
 
-    fn duty_not_won(&mut self, duty: &Duty) {
+    fn duty_not_acquired(&mut self, duty: &Duty) {
         let state = self.duties.states.entry(duty.clone()).or_default();
         state.stage = Stage::Idle;
         state.next_try = self.now + RETRY_BASE.mul_f64(1.0 + self.rng.f64());
@@ -169,25 +170,25 @@
 
     pub(super) fn lose_duties(&mut self, why: &str) {
         for duty in self.duties.held() {
-            self.decide(format!("{} no longer holds {duty}: {why}", self.me()));
-            self.duty_not_won(&duty);
+            self.record_decision(format!("{} no longer holds {duty}: {why}", self.me()));
+            self.duty_not_acquired(&duty);
         }
     }
 
     /// Gives the duties back so that others need not wait for the lease to end.
-    pub(super) fn give_back_duties(&mut self) {
+    pub(super) fn release_duties(&mut self) {
         for duty in self.duties.held() {
             let Some(fence) = self.duties.fence(&duty) else { continue };
             let key = self.duty_key(&duty);
             let request = StoreRequest::Delete { key, expected: Version(fence.0) };
-            self.call_store(Purpose::Farewell, request, self.cfg.store_timeout);
+            self.call_store(Purpose::Cleanup, request, self.cfg.store_timeout);
         }
         self.lose_duties("the daemon is stopping");
     }
 
     /// A newer holder has written: this daemon's duty has passed on.
     pub(super) fn duty_fenced(&mut self, duty: &Duty) {
-        self.decide(format!("{} was fenced off {duty} by a newer holder", self.me()));
-        self.duty_not_won(duty);
+        self.record_decision(format!("{} was fenced off {duty} by a newer holder", self.me()));
+        self.duty_not_acquired(duty);
     }
 }
--- a/crates/borageswitch_control/src/reducer/explaining.rs
+++ b/crates/borageswitch_control/src/reducer/explaining.rs
@@ -9,9 +9,9 @@
 use crate::{effect::Effect, reducer::State};
 
 /// How many decisions are kept: an hour of a busy wave in under 64 KB.
-const KEPT: usize = 512;
+const MAX_DECISIONS: usize = 512;
 /// How many decisions one explanation repeats.
-const SHOWN: usize = 8;
+const MAX_EXPLAINED_DECISIONS: usize = 8;
 
 /// A decision and when it was taken.
 #[derive(Clone, Debug, serde::Serialize)]
@@ -26,13 +26,13 @@
 
 impl State {
     /// Keeps a decision with its reason.
-    pub(super) fn decide(&mut self, text: String) {
+    pub(super) fn record_decision(&mut self, text: String) {
         let text: Arc<str> = text.into();
-        if self.decisions.0.len() >= KEPT {
+        if self.decisions.0.len() >= MAX_DECISIONS {
             self.decisions.0.pop_front();
         }
         self.decisions.0.push_back(Decision { at: self.now, text: text.clone() });
-        self.effects.push(Effect::Decide { text });
+        self.effects.push(Effect::RecordDecision { text });
     }
 
     pub(super) fn explain(&self, subject: &Subject) -> Option<Vec<String>> {
@@ -51,7 +51,7 @@
         lines.extend(self.explain_drains(subject));
         let holder = match self.may_act(&Duty::Planner) {
             true => Some(self.me()),
-            false => self.holder_heard(&Duty::Planner),
+            false => self.recent_holder(&Duty::Planner),
         };
         match holder {
             Some(holder) => lines.push(format!("{holder} takes the steps of this region")),
@@ -66,14 +66,14 @@
         let is_word = |word: &str| word.trim_matches(|c: char| !c.is_alphanumeric()) == name;
         let about = |decision: &&Decision| decision.text.split(' ').any(is_word);
         let mut last: Vec<&Decision> = self.decisions.0.iter().rev().filter(about).collect();
-        last.truncate(SHOWN);
+        last.truncate(MAX_EXPLAINED_DECISIONS);
         let ago = |decision: &Decision| self.now.since(decision.at).as_secs();
         last.iter().rev().map(|d| format!("{} s ago: {}", ago(d), d.text)).collect()
     }
 
     /// Why hosts that leave are not drained: a host by itself, or those of a wave.
     fn explain_drains(&self, subject: &Subject) -> Vec<String> {
-        let is_meant = |host: &&HostName| match subject {
+        let is_subject = |host: &&HostName| match subject {
             Subject::Host(name) => *host == name,
             Subject::Wave(wave) => {
                 let wave = self.sync.fleet().and_then(|fleet| fleet.waves.get(wave));
@@ -81,8 +81,8 @@
             }
             Subject::Pool(_) | Subject::Request(_) => false,
         };
-        let hosts = self.leaving.iter().filter(is_meant);
-        let lines = hosts.map(|host| match self.undrained_here(host) {
+        let hosts = self.leaving.iter().filter(is_subject);
+        let lines = hosts.map(|host| match self.local_drain_blocker(host) {
             Some(why) => format!("{host} is not drained: {why}"),
             None => format!("{host} is drained and its next step is due"),
         });
@@ -92,25 +92,26 @@
     /// The daemon's whole state as JSON.
     pub(super) fn dump(&self) -> String {
         let members = self.members.known.iter().map(|(daemon, known)| {
-            let heard = self.members.heard.get(daemon);
+            let contact = self.members.contacts.get(daemon);
             let member = serde_json::json!({
                 "member": known.member,
-                "heard_ms_ago": heard.map(|h| self.now.since(h.at).as_millis() as u64),
-                "revision": heard.map(|h| h.revision),
-                "progress": heard.map(|h| &h.progress),
-                "duties": heard.map(|h| &h.duties),
+                "heard_ms_ago": contact.map(|h| self.now.since(h.at).as_millis() as u64),
+                "revision": contact.map(|h| h.revision),
+                "progress": contact.map(|h| &h.progress),
+                "duties": contact.map(|h| &h.duties),
                 "lease_stands": known.listed.as_ref().map(|listed| listed.live),
             });
             (daemon, member)
         });
         let members: BTreeMap<_, _> = members.collect();
         let undrained = self.leaving.iter();
-        let undrained = undrained.map(|h| (h, self.undrained_here(h).map(|why| why.to_string())));
+        let undrained =
+            undrained.map(|h| (h, self.local_drain_blocker(h).map(|why| why.to_string())));
         let undrained: BTreeMap<_, _> = undrained.collect();
         let dump = serde_json::json!({
             "daemon": self.me(),
             "region": self.cfg.region,
-            "revision": self.known().0,
+            "revision": self.known_document().0,
             "store_version": self.sync.version(),
             "applied": self.traffic.applied,
             "draining": self.traffic.draining,
--- a/crates/borageswitch_control/src/reducer/fleet_sync.rs
+++ b/crates/borageswitch_control/src/reducer/fleet_sync.rs
@@ -18,7 +18,7 @@
         State,
         store_calls::{Backoff, Purpose},
     },
-    store::{KeyValue, StoreAnswer, StoreError, StoreRequest, Version},
+    store::{KeyValue, StoreError, StoreRequest, StoreResponse, Version},
 };
 
 /// How long the store holds a watch: long enough to cost few calls, short enough that a watch that
@@ -42,7 +42,7 @@
     backoff: Backoff,
     /// Since when a higher revision has been known than the document's.
     behind_since: Option<Time>,
-    pub(super) next_ask: Time,
+    pub(super) next_fleet_request: Time,
 }
 
 impl FleetSync {
@@ -86,40 +86,40 @@
             return true;
         }
         let relay = self.relay_duty();
-        let is_told = self.may_act(&relay) || self.holder_heard(&relay).is_some();
-        !is_told && idle >= READ_WITHOUT_RELAY && self.sync.read_again.is_none()
+        let is_notified = self.may_act(&relay) || self.recent_holder(&relay).is_some();
+        !is_notified && idle >= READ_WITHOUT_RELAY && self.sync.read_again.is_none()
     }
 
     /// Notes that a peer knows a revision; whoever stays behind one reads the store.
-    pub(super) fn note_revision(&mut self, revision: Revision) {
-        let (known, _) = self.known();
+    pub(super) fn revision_seen(&mut self, revision: Revision) {
+        let (known, _) = self.known_document();
         if revision <= known {
             return;
         }
         self.sync.behind_since.get_or_insert(self.now);
     }
 
-    pub(super) fn fleet_read(&mut self, asked: Time, outcome: Result<StoreAnswer, StoreError>) {
+    pub(super) fn fleet_read(&mut self, sent_at: Time, outcome: Result<StoreResponse, StoreError>) {
         match outcome {
-            Ok(StoreAnswer::Value(Some(kv))) => self.take_value(&kv),
-            Ok(StoreAnswer::Value(None)) => self.take_absent(),
+            Ok(StoreResponse::Value(Some(kv))) => self.apply_value(&kv),
+            Ok(StoreResponse::Value(None)) => self.document_absent(),
             _ => {
-                let wait = self.sync.backoff.next_wait(RETRY_BASE, &mut self.rng);
+                let wait = self.sync.backoff.next_delay(RETRY_BASE, &mut self.rng);
                 self.sync.read_again = Some(self.now + wait);
                 return;
             }
         }
         self.sync.backoff.reset();
-        self.session.note_read(asked);
-        self.writer_read(asked);
+        self.session.document_read(sent_at);
+        self.writer_read(sent_at);
     }
 
-    pub(super) fn fleet_watched(&mut self, outcome: Result<StoreAnswer, StoreError>) {
+    pub(super) fn fleet_watched(&mut self, outcome: Result<StoreResponse, StoreError>) {
         match outcome {
-            Ok(StoreAnswer::Value(Some(kv))) => self.take_value(&kv),
+            Ok(StoreResponse::Value(Some(kv))) => self.apply_value(&kv),
             Ok(_) => {}
             Err(_) => {
-                let wait = self.sync.backoff.next_wait(RETRY_BASE, &mut self.rng);
+                let wait = self.sync.backoff.next_delay(RETRY_BASE, &mut self.rng);
                 self.sync.read_again = Some(self.now + wait);
                 return;
             }
@@ -142,7 +142,7 @@
         self.call_store(Purpose::WatchFleet, request, WATCH_WAIT + self.cfg.store_timeout);
     }
 
-    fn take_absent(&mut self) {
+    fn document_absent(&mut self) {
         match &self.sync.fleet {
             None => self.sync.fleet = Some(Arc::new(Fleet::empty(self.cfg.region.clone()))),
             // The store has lost the document; the next change writes it whole again.
@@ -150,7 +150,7 @@
         }
     }
 
-    fn take_value(&mut self, kv: &KeyValue) {
+    fn apply_value(&mut self, kv: &KeyValue) {
         if kv.version == self.sync.version && self.sync.fleet.is_some() {
             return;
         }
@@ -173,9 +173,9 @@
             self.sync.version = version;
         }
         let known = before.as_ref().map(|known| known.revision);
-        let is_news =
+        let is_newer =
             known.is_none_or(|known| fleet.revision > known || known == Revision::default());
-        if !is_news && self.cfg.guards.adopt_only_higher {
+        if !is_newer && self.cfg.guards.adopt_only_higher {
             return;
         }
         if let Some(before) = &before {
@@ -186,13 +186,13 @@
         self.sync.digest = None;
         self.sync.behind_since = None;
         self.effects.push(Effect::PublishFleet(fleet));
-        self.note_phases();
+        self.refresh_phases();
         self.publish_view();
-        if is_news {
-            self.spread(known.unwrap_or_default(), from);
+        if is_newer {
+            self.propagate(known.unwrap_or_default(), from);
         }
-        self.beat_soon();
-        self.plan_soon();
+        self.schedule_heartbeat();
+        self.schedule_planning();
     }
 }
 
--- a/crates/borageswitch_control/src/reducer/host_list.rs
+++ b/crates/borageswitch_control/src/reducer/host_list.rs
@@ -28,13 +28,13 @@
     }
 
     /// Takes a list in; while none can be read, the last one stands.
-    pub(super) fn hosts_listed(&mut self, hosts: Option<Vec<ListedHost>>) {
+    pub(super) fn host_list_received(&mut self, hosts: Option<Vec<ListedHost>>) {
         let Some(hosts) = hosts else { return };
         let leaving = hosts.into_iter().filter(|listed| listed.leaving).map(|listed| listed.host);
         let leaving: BTreeSet<HostName> = leaving.collect();
         if self.observed.listed_leaving.as_ref() != Some(&leaving) {
             self.observed.listed_leaving = Some(leaving);
-            self.plan_soon();
+            self.schedule_planning();
         }
     }
 }
--- a/crates/borageswitch_control/src/reducer/members.rs
+++ b/crates/borageswitch_control/src/reducer/members.rs
@@ -15,26 +15,26 @@
 
 use crate::{
     effect::Effect,
-    reducer::{State, store_calls::Purpose, tree::HeardState},
-    store::{KeyValue, StoreAnswer, StoreError, StoreRequest, Version},
+    reducer::{State, store_calls::Purpose, tree::PeerContact},
+    store::{KeyValue, StoreError, StoreRequest, StoreResponse, Version},
 };
 
 /// A planner lists the members this often while a host leaves; a drain waits for a list.
-const LIST_WHILE_LEAVING: Duration = Duration::from_secs(1);
+const LIST_INTERVAL_WHILE_LEAVING: Duration = Duration::from_secs(1);
 /// A planner lists the members this often otherwise.
-const LIST_AS_PLANNER: Duration = Duration::from_secs(15);
+const LIST_INTERVAL_AS_PLANNER: Duration = Duration::from_secs(15);
 /// Everybody else learns from rosters and lists seldom.
-const LIST_SELDOM: Duration = Duration::from_secs(120);
+const LIST_INTERVAL: Duration = Duration::from_secs(120);
 /// A member that was never listed is forgotten when it was not heard for this time.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 /// A daemon leaves the dialling to the peer with the lower name for this time.
-const DIAL_PATIENCE: Duration = Duration::from_secs(2);
+const DIAL_DELAY: Duration = Duration::from_secs(2);
 /// Names of daemons that are gone, kept so that an old roster does not bring them back.
-const MOST_GONE: usize = 256;
+const MAX_GONE: usize = 256;
 
 /// A member as the store's last list showed it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Listed {
+pub(super) struct ListedMember {
     member_version: Version,
     /// Whether its lease stood.
     pub(super) live: bool,
@@ -44,19 +44,19 @@
 
 /// One known member other than this daemon.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct KnownMember {
     pub(super) member: Member,
     pub(super) first_known: Time,
     up: bool,
     dialled: bool,
-    pub(super) listed: Option<Listed>,
+    pub(super) listed: Option<ListedMember>,
 }
 
 /// Everybody whom this daemon knows.
 #[derive(Debug, Default)]
 pub(super) struct Members {
-    pub(super) known: BTreeMap<DaemonName, Known>,
-    pub(super) heard: BTreeMap<DaemonName, HeardState>,
+    pub(super) known: BTreeMap<DaemonName, KnownMember>,
+    pub(super) contacts: BTreeMap<DaemonName, PeerContact>,
     gone: BTreeSet<DaemonName>,
     pub(super) own_version: Option<Version>,
     next_list: Time,
@@ -68,28 +68,29 @@
 
 impl State {
     /// The other daemon that holds a duty, as far as it was heard not long ago.
-    pub(super) fn holder_heard(&self, duty: &Duty) -> Option<&DaemonName> {
-        let recent = |heard: &HeardState| heard.at + self.cfg.silence / 2 > self.now;
-        let mut holders = self.members.heard.iter().filter(|(_, h)| h.duties.contains(duty));
-        holders.find(|(_, heard)| recent(heard)).map(|(daemon, _)| daemon)
+    pub(super) fn recent_holder(&self, duty: &Duty) -> Option<&DaemonName> {
+        let recent = |contact: &PeerContact| contact.at + self.cfg.silence_timeout / 2 > self.now;
+        let mut holders = self.members.contacts.iter().filter(|(_, h)| h.duties.contains(duty));
+        holders.find(|(_, contact)| recent(contact)).map(|(daemon, _)| daemon)
     }
 
     /// Whether a member may be alive: it was heard, or has not had the time to be heard.
     pub(super) fn may_be_alive(&self, daemon: &DaemonName) -> bool {
-        let silence = self.cfg.silence;
-        let heard = self.members.heard.get(daemon).is_some_and(|h| h.at + silence > self.now);
+        let silence = self.cfg.silence_timeout;
+        let has_contact =
+            self.members.contacts.get(daemon).is_some_and(|h| h.at + silence > self.now);
         let new = self.members.known.get(daemon);
-        heard || new.is_some_and(|known| known.first_known + silence > self.now)
+        has_contact || new.is_some_and(|known| known.first_known + silence > self.now)
     }
 
-    pub(super) fn learn(&mut self, member: Member) {
+    pub(super) fn add_member(&mut self, member: Member) {
         let daemon = member.daemon.clone();
         let skip = daemon == *self.me() || self.members.gone.contains(&daemon);
         if skip || self.members.known.contains_key(&daemon) {
             return;
         }
         let first_known = self.now;
-        let known = Known { member, first_known, up: false, dialled: false, listed: None };
+        let known = KnownMember { member, first_known, up: false, dialled: false, listed: None };
         self.members.known.insert(daemon, known);
         self.members.generation += 1;
     }
@@ -97,14 +98,14 @@
     pub(super) fn peer_up(&mut self, member: Member) {
         let daemon = member.daemon.clone();
         self.members.gone.remove(&daemon);
-        self.learn(member);
+        self.add_member(member);
         let now = self.now;
         if let Some(known) = self.members.known.get_mut(&daemon) {
             known.up = true;
             // A connection that stands again gives the peer time to be heard.
             known.first_known = now;
         }
-        self.beat_soon();
+        self.schedule_heartbeat();
     }
 
     pub(super) fn peer_down(&mut self, daemon: &DaemonName) {
@@ -121,15 +122,15 @@
             self.list_members();
         }
         self.dial_members();
-        self.forget_members();
+        self.remove_stale_members();
     }
 
     fn dial_members(&mut self) {
         let me = self.cfg.me.daemon.clone();
         let now = self.now;
         for known in self.members.known.values_mut() {
-            let mine = me < known.member.daemon || known.first_known + DIAL_PATIENCE <= now;
-            if !known.up && !known.dialled && mine {
+            let dials_first = me < known.member.daemon || known.first_known + DIAL_DELAY <= now;
+            if !known.up && !known.dialled && dials_first {
                 known.dialled = true;
                 let member = known.member.clone();
                 self.effects.push(Effect::ConnectPeer { member });
@@ -137,31 +138,32 @@
         }
     }
 
-    fn forget_members(&mut self) {
-        let (now, silence) = (self.now, self.cfg.silence);
-        let heard = &self.members.heard;
-        let is_gone = |daemon: &DaemonName, known: &Known| {
-            let last = heard.get(daemon).map_or(known.first_known, |h| h.at.max(known.first_known));
+    fn remove_stale_members(&mut self) {
+        let (now, silence) = (self.now, self.cfg.silence_timeout);
+        let contacts = &self.members.contacts;
+        let is_gone = |daemon: &DaemonName, known: &KnownMember| {
+            let last =
+                contacts.get(daemon).map_or(known.first_known, |h| h.at.max(known.first_known));
             let listed = known.listed.is_some();
             !listed && last + FORGET_AFTER <= now && last + silence <= now
         };
         let gone = self.members.known.iter().filter(|(daemon, known)| is_gone(daemon, known));
         let gone: Vec<DaemonName> = gone.map(|(daemon, _)| daemon.clone()).collect();
         for daemon in gone {
-            self.forget(&daemon);
+            self.remove_member(&daemon);
         }
     }
 
-    fn forget(&mut self, daemon: &DaemonName) {
+    fn remove_member(&mut self, daemon: &DaemonName) {
         self.members.known.remove(daemon);
-        self.members.heard.remove(daemon);
+        self.members.contacts.remove(daemon);
         self.members.generation += 1;
-        if self.members.gone.len() >= MOST_GONE {
+        if self.members.gone.len() >= MAX_GONE {
             self.members.gone.pop_first();
         }
         self.members.gone.insert(daemon.clone());
-        self.effects.push(Effect::DropPeer { daemon: daemon.clone() });
-        self.decide(format!("{daemon} is no longer a member"));
+        self.effects.push(Effect::DisconnectPeer { daemon: daemon.clone() });
+        self.record_decision(format!("{daemon} is no longer a member"));
     }
 
     pub(super) fn list_members(&mut self) {
@@ -169,15 +171,15 @@
         if self.store_calls.is_open(is_list) {
             return;
         }
-        let (known, _) = self.known();
+        let (known, _) = self.known_document();
         let request = StoreRequest::List { prefix: self.daemon_prefix() };
-        self.members.next_list = self.now + self.list_wait();
+        self.members.next_list = self.now + self.member_list_interval();
         self.call_store(Purpose::ListMembers { known }, request, self.cfg.store_timeout);
     }
 
-    fn list_wait(&mut self) -> Duration {
+    fn member_list_interval(&mut self) -> Duration {
         if !self.may_act(&Duty::Planner) {
-            return LIST_SELDOM.mul_f64(0.75 + self.rng.f64() / 2.0);
+            return LIST_INTERVAL.mul_f64(0.75 + self.rng.f64() / 2.0);
         }
         let leaving = |fleet: &Arc<borageswitch_types::Fleet>| {
             fleet.hosts.values().any(|host| matches!(host.phase, HostPhase::Leaving { .. }))
@@ -185,11 +187,11 @@
         let any_leaves = self.sync.fleet().is_some_and(leaving);
         let mut listed = self.members.known.values().filter_map(|known| known.listed.as_ref());
         let any_gone = listed.any(|listed| !listed.live);
-        if any_leaves || any_gone { LIST_WHILE_LEAVING } else { LIST_AS_PLANNER }
+        if any_leaves || any_gone { LIST_INTERVAL_WHILE_LEAVING } else { LIST_INTERVAL_AS_PLANNER }
     }
 
     /// Asks for a list soon: a host has begun to leave, and its drain waits for a list.
-    pub(super) fn list_soon(&mut self) {
+    pub(super) fn schedule_member_list(&mut self) {
         if self.may_act(&Duty::Planner) {
             self.members.next_list = self.now;
         }
@@ -198,9 +200,9 @@
     pub(super) fn members_listed(
         &mut self,
         known: Revision,
-        outcome: Result<StoreAnswer, StoreError>,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
-        let Ok(StoreAnswer::Values(values)) = outcome else { return };
+        let Ok(StoreResponse::Values(values)) = outcome else { return };
         let mut listed: BTreeMap<DaemonName, (Option<KeyValue>, bool)> = BTreeMap::new();
         let prefix = self.daemon_prefix();
         for kv in &values {
@@ -214,11 +216,11 @@
             }
         }
         self.members.list_covers = Some(known);
-        self.take_list(&listed);
-        self.forget_crashed();
+        self.apply_member_list(&listed);
+        self.remove_crashed_members();
     }
 
-    fn take_list(&mut self, listed: &BTreeMap<DaemonName, (Option<KeyValue>, bool)>) {
+    fn apply_member_list(&mut self, listed: &BTreeMap<DaemonName, (Option<KeyValue>, bool)>) {
         for (daemon, (kv, live)) in listed {
             let Some(kv) = kv else { continue };
             if daemon == self.me() {
@@ -229,7 +231,7 @@
                 // A daemon that was paused for long registers again under its old name.
                 Ok(member) => {
                     self.members.gone.remove(daemon);
-                    self.learn(member);
+                    self.add_member(member);
                 }
                 Err(err) => log::error!("the member key of {daemon} cannot be read: {err}"),
             }
@@ -243,46 +245,47 @@
             let unchanged = before.member_version == member_version;
             let gone_before = before.gone_since.filter(|_| unchanged).unwrap_or(now);
             let gone_since = (!live).then_some(gone_before);
-            known.listed = Some(Listed { member_version, live: *live, gone_since });
+            known.listed = Some(ListedMember { member_version, live: *live, gone_since });
         }
-        let left = self.members.known.iter().filter(|(daemon, known)| {
+        let removed = self.members.known.iter().filter(|(daemon, known)| {
             known.listed.is_some() && listed.get(*daemon).is_none_or(|(kv, _)| kv.is_none())
         });
-        let left: Vec<DaemonName> = left.map(|(daemon, _)| daemon.clone()).collect();
-        for daemon in left {
-            self.forget(&daemon);
+        let removed: Vec<DaemonName> = removed.map(|(daemon, _)| daemon.clone()).collect();
+        for daemon in removed {
+            self.remove_member(&daemon);
         }
     }
 
     /// As the planner, removes the member keys of daemons that crashed so long ago that nothing of
     /// theirs can be in flight.
-    fn forget_crashed(&mut self) {
+    fn remove_crashed_members(&mut self) {
         if !self.may_act(&Duty::Planner) {
             return;
         }
-        let patience = self.longest_patience();
+        let drain_timeout = self.longest_drain_timeout();
         let crashed = self.members.known.iter().filter_map(|(daemon, known)| {
             let listed = known.listed.as_ref()?;
-            let heard = self.members.heard.get(daemon).map_or(Time::ZERO, |heard| heard.at);
-            let last = listed.gone_since?.max(heard).max(known.first_known);
-            let past = last + patience <= self.now && !self.may_be_alive(daemon);
+            let last_contact =
+                self.members.contacts.get(daemon).map_or(Time::ZERO, |contact| contact.at);
+            let last = listed.gone_since?.max(last_contact).max(known.first_known);
+            let past = last + drain_timeout <= self.now && !self.may_be_alive(daemon);
             past.then(|| (daemon.clone(), listed.member_version))
         });
         let crashed: Vec<(DaemonName, Version)> = crashed.collect();
         for (daemon, expected) in crashed {
             let key: Arc<str> = format!("{}{daemon}/member", self.daemon_prefix()).into();
             let request = StoreRequest::Delete { key, expected };
-            self.call_store(Purpose::ForgetMember(daemon), request, self.cfg.store_timeout);
+            self.call_store(Purpose::DeleteMember(daemon), request, self.cfg.store_timeout);
         }
     }
 
-    pub(super) fn member_forgotten(
+    pub(super) fn member_deleted(
         &mut self,
         daemon: &DaemonName,
-        outcome: &Result<StoreAnswer, StoreError>,
+        outcome: &Result<StoreResponse, StoreError>,
     ) {
-        if matches!(outcome, Ok(StoreAnswer::Done)) && !self.may_be_alive(daemon) {
-            self.forget(daemon);
+        if matches!(outcome, Ok(StoreResponse::Done)) && !self.may_be_alive(daemon) {
+            self.remove_member(daemon);
         }
     }
 }
--- a/crates/borageswitch_control/src/reducer/mod.rs
+++ b/crates/borageswitch_control/src/reducer/mod.rs
@@ -24,8 +24,8 @@
 mod observing;
 mod operators;
 mod planning;
+mod propagation;
 mod session;
-mod spreading;
 mod store_calls;
 mod tree;
 mod views;
@@ -55,7 +55,7 @@
 
 /// Ticks come many times a second; a longer time without any event means that the process was
 /// paused, and is worth a line in the log.
-const PAUSE: Duration = Duration::from_secs(2);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 /// After the stop so many reports of the traffic threads must say that nothing is unfinished: the
 /// first may have been made before they knew.
 const REPORTS_AFTER_STOP: u32 = 2;
@@ -83,11 +83,11 @@
     decisions: explaining::Decisions,
     traffic: TrafficReport,
     observed: Observed,
-    commanded: BTreeMap<HostName, Time>,
-    epochs: BTreeMap<HostName, drains::EpochSeen>,
+    last_commands: BTreeMap<HostName, Time>,
+    epochs: BTreeMap<HostName, drains::KnownEpoch>,
     leaving: BTreeSet<HostName>,
     entries: Arc<[DaemonName]>,
-    waits: Vec<operators::Wait>,
+    in_force_waits: Vec<operators::InForceWait>,
     stopping: bool,
     reports_since_stop: u32,
     exited: bool,
@@ -119,10 +119,10 @@
             decisions: explaining::Decisions::default(),
             traffic: TrafficReport::default(),
             observed: Observed::default(),
-            commanded: BTreeMap::new(),
+            last_commands: BTreeMap::new(),
             epochs: BTreeMap::new(),
             leaving: BTreeSet::new(),
-            waits: Vec::new(),
+            in_force_waits: Vec::new(),
             stopping: false,
             reports_since_stop: 0,
             exited: false,
@@ -137,17 +137,17 @@
     /// When a promise would be broken: a document or a fence that goes back, a key claimed twice,
     /// a command that would leave after the holder's lease.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
-        self.note_time(now);
+        self.advance_time(now);
         match event {
             Event::Started => self.start(),
             Event::Tick { wall } => self.tick(wall),
-            Event::Store { call, outcome } => self.store_answered(call, outcome),
+            Event::Store { call, outcome } => self.store_responded(call, outcome),
             Event::PeerUp { member } => self.peer_up(member),
             Event::PeerDown { daemon } => self.peer_down(&daemon),
-            Event::Peer { from, message } => self.peer_says(&from, message),
-            Event::HostList { hosts } => self.hosts_listed(hosts),
-            Event::Agent { host, outcome } => self.agent_answered(host, outcome),
-            Event::Operator { call, request } => self.operator_asks(call, request),
+            Event::Peer { from, message } => self.peer_message_received(&from, message),
+            Event::HostList { hosts } => self.host_list_received(hosts),
+            Event::Agent { host, outcome } => self.agent_responded(host, outcome),
+            Event::Operator { call, request } => self.operator_requested(call, request),
             Event::Traffic(report) => self.traffic_reported(report),
             Event::Claim(claim) => self.claim(&claim),
             Event::ReleaseClaim(ticket) => self.release_claim(ticket),
@@ -185,12 +185,12 @@
         &self.cfg.me.daemon
     }
 
-    fn note_time(&mut self, now: Time) {
+    fn advance_time(&mut self, now: Time) {
         let pause = now.since(self.now);
         let is_first = self.now == Time::ZERO;
         self.now = now;
-        if pause >= PAUSE && !is_first {
-            self.decide(format!("{} was paused for {} ms", self.me(), pause.as_millis()));
+        if pause >= PAUSE_THRESHOLD && !is_first {
+            self.record_decision(format!("{} was paused for {} ms", self.me(), pause.as_millis()));
             self.refresh_admission();
         }
     }
@@ -218,24 +218,24 @@
         self.host_list_tick();
         self.writer_tick();
         self.claims_tick();
-        self.answer_waits();
+        self.resolve_waits();
         self.try_exit();
     }
 
-    fn peer_says(&mut self, from: &DaemonName, message: PeerMessage) {
+    fn peer_message_received(&mut self, from: &DaemonName, message: PeerMessage) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.heartbeat_received(from, heartbeat),
-            PeerMessage::Roster(members) => members.into_iter().for_each(|m| self.learn(m)),
+            PeerMessage::Roster(members) => members.into_iter().for_each(|m| self.add_member(m)),
             PeerMessage::Changes(delta) => self.changes_received(from, &delta),
             PeerMessage::Snapshot { fleet, store_version } => {
                 self.snapshot_received(from, *fleet, store_version);
             }
-            PeerMessage::AskFleet { have } => self.fleet_asked(from, have),
-            PeerMessage::ClaimAsks(asks) => self.claims_asked(from, asks),
-            PeerMessage::ClaimReleases(releases) => self.claims_released(releases),
+            PeerMessage::AskFleet { have } => self.fleet_requested(from, have),
+            PeerMessage::ClaimAsks(asks) => self.claim_requests_received(from, asks),
+            PeerMessage::ClaimReleases(releases) => self.claim_releases_received(releases),
             PeerMessage::ClaimAnswers(answers) => {
                 for (nonce, outcome) in answers {
-                    self.claim_concluded(nonce, outcome);
+                    self.claim_resolved(nonce, outcome);
                 }
             }
             PeerMessage::Slots(_) => {}
@@ -244,13 +244,13 @@
 
     fn traffic_reported(&mut self, report: TrafficReport) {
         let before = &self.traffic;
-        let is_news = report.applied != before.applied || report.draining != before.draining;
+        let has_changed = report.applied != before.applied || report.draining != before.draining;
         self.traffic = report;
         self.reports_since_stop += u32::from(self.stopping);
-        if is_news {
-            self.beat_soon();
-            self.plan_soon();
-            self.answer_waits();
+        if has_changed {
+            self.schedule_heartbeat();
+            self.schedule_planning();
+            self.resolve_waits();
         }
         self.try_exit();
     }
@@ -259,11 +259,11 @@
         if self.stopping {
             return;
         }
-        self.decide(format!("{} stops: {reason}", self.me()));
+        self.record_decision(format!("{} stops: {reason}", self.me()));
         self.stopping = true;
-        self.give_back_duties();
+        self.release_duties();
         self.refresh_admission();
-        self.beat_soon();
+        self.schedule_heartbeat();
         self.try_exit();
     }
 
@@ -280,7 +280,7 @@
         format!("borageswitch/{}/fleet", self.cfg.region).into()
     }
 
-    fn known(&self) -> (Revision, Version) {
+    fn known_document(&self) -> (Revision, Version) {
         let revision = self.sync.fleet().map_or(Revision::default(), |fleet| fleet.revision);
         (revision, self.sync.version())
     }
--- a/crates/borageswitch_control/src/reducer/observing.rs
+++ b/crates/borageswitch_control/src/reducer/observing.rs
@@ -20,7 +20,7 @@
 /// How often one host in turn, and each suspected host, is asked.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// The most suspected hosts that are asked at once: a lost data centre must not cause a storm.
-const SUSPECTS: usize = 16;
+const MAX_SUSPECTS: usize = 16;
 /// One unanswered command may be the network's fault; a host is silent after this many.
 const SILENT_AFTER: u32 = 2;
 
@@ -33,14 +33,14 @@
 }
 
 impl State {
-    pub(super) fn agent_answered(
+    pub(super) fn agent_responded(
         &mut self,
         host: HostName,
         outcome: Result<AgentStatus, AgentError>,
     ) {
         match outcome {
-            Ok(status) => self.note_status(host, status),
-            Err(AgentError::Silent) => self.note_silence(host),
+            Ok(status) => self.record_status(host, status),
+            Err(AgentError::Silent) => self.record_silence(host),
             Err(AgentError::Refused) => {
                 self.observing.unanswered.remove(&host);
                 self.observed.unreachable_since.remove(&host);
@@ -48,7 +48,7 @@
         }
     }
 
-    fn note_status(&mut self, host: HostName, status: AgentStatus) {
+    fn record_status(&mut self, host: HostName, status: AgentStatus) {
         self.observing.unanswered.remove(&host);
         let was_silent = self.observed.unreachable_since.remove(&host).is_some();
         if let Some(done) = &status.done {
@@ -60,14 +60,14 @@
         // The planner is asked at once when a state changes; readings of the draw change all the
         // time and can wait for its next turn.
         let known = self.observed.agents.get(&host);
-        let is_news = known.is_none_or(|k| k.ready != status.ready || k.done != status.done);
+        let has_changed = known.is_none_or(|k| k.ready != status.ready || k.done != status.done);
         self.observed.agents.insert(host, status);
-        if was_silent || is_news {
-            self.plan_soon();
+        if was_silent || has_changed {
+            self.schedule_planning();
         }
     }
 
-    fn note_silence(&mut self, host: HostName) {
+    fn record_silence(&mut self, host: HostName) {
         // A host that does its work well can be reached, whatever its agent does.
         let works = self.traffic.failing.get(&host).is_some_and(|share| *share < FAILING_PERMILLE);
         let unanswered = self.observing.unanswered.entry(host.clone()).or_default();
@@ -88,9 +88,10 @@
     /// two at least: one entry alone may have a fault of its own.
     pub(super) fn refresh_failing(&mut self) {
         let mut reports: BTreeMap<HostName, usize> = BTreeMap::new();
-        let silence = self.cfg.silence;
-        let heard = self.members.heard.values().filter(|heard| heard.at + silence > self.now);
-        let others = heard.flat_map(|heard| heard.progress.failing.keys().cloned());
+        let silence = self.cfg.silence_timeout;
+        let contacts =
+            self.members.contacts.values().filter(|contact| contact.at + silence > self.now);
+        let others = contacts.flat_map(|contact| contact.progress.failing.keys().cloned());
         for host in others.chain(self.own_failing().into_keys()) {
             *reports.entry(host).or_default() += 1;
         }
@@ -108,7 +109,7 @@
         }
         self.observing.next_probe = self.now + PROBE_INTERVAL;
         let suspects = self.observing.unanswered.keys().chain(self.observed.failing.keys());
-        let mut hosts: Vec<HostName> = suspects.take(SUSPECTS).cloned().collect();
+        let mut hosts: Vec<HostName> = suspects.take(MAX_SUSPECTS).cloned().collect();
         hosts.extend(self.next_host());
         for host in hosts {
             self.command(host, AgentCommand::Status);
@@ -129,11 +130,11 @@
     }
 
     /// Forgets the hosts that are no longer in the document.
-    pub(super) fn forget_hosts(&mut self) {
+    pub(super) fn remove_unknown_hosts(&mut self) {
         let Some(fleet) = self.sync.fleet().cloned() else { return };
         let hosts = &fleet.hosts;
         self.epochs.retain(|host, _| hosts.contains_key(host));
-        self.commanded.retain(|host, _| hosts.contains_key(host));
+        self.last_commands.retain(|host, _| hosts.contains_key(host));
         self.observing.unanswered.retain(|host, _| hosts.contains_key(host));
         let observed = &mut self.observed;
         observed.phase_since.retain(|host, _| hosts.contains_key(host));
--- a/crates/borageswitch_control/src/reducer/operators.rs
+++ b/crates/borageswitch_control/src/reducer/operators.rs
@@ -7,69 +7,69 @@
 
 use crate::{
     effect::Effect,
-    event::OperatorCall,
+    event::OperatorCallId,
     reducer::{State, writing::Origin},
 };
 
 /// An operator who waits until a revision is in force.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wait {
-    call: OperatorCall,
+pub(super) struct InForceWait {
+    call: OperatorCallId,
     revision: Revision,
     until: Time,
 }
 
 impl State {
-    pub(super) fn operator_asks(&mut self, call: OperatorCall, request: OperatorRequest) {
+    pub(super) fn operator_requested(&mut self, call: OperatorCallId, request: OperatorRequest) {
         match request {
             OperatorRequest::Change(req) => {
                 self.queue_change(Origin::Operator(call), *req);
             }
             OperatorRequest::WaitInForce { revision, timeout } => {
                 let until = self.now + timeout;
-                self.waits.push(Wait { call, revision, until });
-                self.answer_waits();
+                self.in_force_waits.push(InForceWait { call, revision, until });
+                self.resolve_waits();
             }
             OperatorRequest::GetFleet => {
-                let answer = match self.sync.fleet() {
+                let response = match self.sync.fleet() {
                     Some(fleet) => {
                         OperatorAnswer::Json(serde_json::to_string(&**fleet).unwrap_or_default())
                     }
                     None => OperatorAnswer::NotFound,
                 };
-                self.answer(call, answer);
+                self.respond(call, response);
             }
             OperatorRequest::Dump => {
-                let answer = OperatorAnswer::Json(self.dump());
-                self.answer(call, answer);
+                let response = OperatorAnswer::Json(self.dump());
+                self.respond(call, response);
             }
             OperatorRequest::Explain(subject) => {
-                let answer = match self.explain(&subject) {
+                let response = match self.explain(&subject) {
                     Some(lines) => {
                         OperatorAnswer::Explanation(lines.into_iter().map(Arc::from).collect())
                     }
                     None => OperatorAnswer::NotFound,
                 };
-                self.answer(call, answer);
+                self.respond(call, response);
             }
         }
     }
 
-    pub(super) fn answer(&mut self, call: OperatorCall, answer: OperatorAnswer) {
-        self.effects.push(Effect::AnswerOperator { call, answer });
+    pub(super) fn respond(&mut self, call: OperatorCallId, response: OperatorAnswer) {
+        self.effects.push(Effect::RespondToOperator { call, response });
     }
 
     /// Answers whoever waits for a revision that is in force by now, or has waited long enough.
-    pub(super) fn answer_waits(&mut self) {
-        let waits = std::mem::take(&mut self.waits);
-        for wait in waits {
+    pub(super) fn resolve_waits(&mut self) {
+        let in_force_waits = std::mem::take(&mut self.in_force_waits);
+        for wait in in_force_waits {
             let lagging = self.lagging(wait.revision);
             if !lagging.is_empty() && self.now < wait.until {
-                self.waits.push(wait);
+                self.in_force_waits.push(wait);
                 continue;
             }
-            let answer = OperatorAnswer::InForce { revision: wait.revision, lagging };
-            self.answer(wait.call, answer);
+            let response = OperatorAnswer::InForce { revision: wait.revision, lagging };
+            self.respond(wait.call, response);
         }
     }
 
@@ -78,8 +78,8 @@
     /// A daemon that has been silent for longer than it may serve by itself counts no more.
     pub(super) fn lagging(&self, revision: Revision) -> Vec<DaemonName> {
         let has_applied = |daemon: &DaemonName| {
-            let heard = self.members.heard.get(daemon);
-            heard.is_some_and(|heard| heard.progress.applied >= revision)
+            let contact = self.members.contacts.get(daemon);
+            contact.is_some_and(|contact| contact.progress.applied >= revision)
         };
         let known = self.members.known.keys();
         let behind = known.filter(|d| !has_applied(d) && self.may_serve(d)).cloned();
@@ -96,11 +96,11 @@
     fn may_serve(&self, daemon: &DaemonName) -> bool {
         let listed = self.members.known.get(daemon).and_then(|known| known.listed.as_ref());
         let lease_may_stand = listed.is_none_or(|listed| listed.live);
-        self.may_be_alive(daemon) || (lease_may_stand && self.heard_within_ttl(daemon))
+        self.may_be_alive(daemon) || (lease_may_stand && self.contacted_within_ttl(daemon))
     }
 
-    fn heard_within_ttl(&self, daemon: &DaemonName) -> bool {
-        let patience = self.cfg.silence + self.cfg.duty_ttl;
-        self.members.heard.get(daemon).is_some_and(|heard| heard.at + patience > self.now)
+    fn contacted_within_ttl(&self, daemon: &DaemonName) -> bool {
+        let max_age = self.cfg.silence_timeout + self.cfg.duty_ttl;
+        self.members.contacts.get(daemon).is_some_and(|contact| contact.at + max_age > self.now)
     }
 }
--- a/crates/borageswitch_control/src/reducer/planning.rs
+++ b/crates/borageswitch_control/src/reducer/planning.rs
@@ -20,11 +20,11 @@
 const COMMAND_INTERVAL: Duration = Duration::from_millis(500);
 /// With news the planner is asked this often at the most: a step costs milliseconds on a large
 /// fleet, and confirmations arrive one by one.
-const SOONEST_PLAN: Duration = Duration::from_millis(100);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Without news the planner is asked this often, for what follows from time alone.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// At most so many planned changes go into one write.
-const CHANGES_AT_ONCE: usize = 8;
+const MAX_PLANNED_CHANGES: usize = 8;
 
 /// When the planner was asked and shall be asked again.
 #[derive(Debug, Default)]
@@ -34,14 +34,14 @@
 }
 
 impl State {
-    pub(super) fn plan_soon(&mut self) {
-        let soon = (self.planning.last + SOONEST_PLAN).max(self.now);
+    pub(super) fn schedule_planning(&mut self) {
+        let soon = (self.planning.last + MIN_PLAN_INTERVAL).max(self.now);
         self.planning.next = self.planning.next.min(soon);
     }
 
     pub(super) fn plan_tick(&mut self) {
         let due = self.planning.next <= self.now;
-        if !due || !self.may_act(&Duty::Planner) || self.writer.holds_planner_change() {
+        if !due || !self.may_act(&Duty::Planner) || self.writer.has_planner_change() {
             return;
         }
         self.planning.last = self.now;
@@ -54,9 +54,9 @@
         let mut changes = 0;
         for step in steps::next_steps(&fleet, &self.observed) {
             match step {
-                Step::Change { change, reason } if changes < CHANGES_AT_ONCE => {
+                Step::Change { change, reason } if changes < MAX_PLANNED_CHANGES => {
                     changes += 1;
-                    self.decide(reason.to_string());
+                    self.record_decision(reason.to_string());
                     let req = self.holder_request(change, reason);
                     self.queue_change(Origin::Planner, req);
                 }
@@ -66,19 +66,19 @@
         }
     }
 
-    pub(super) fn planner_step_concluded(&mut self, answer: &OperatorAnswer) {
-        if let OperatorAnswer::Refused(refusal) = answer {
-            self.decide(format!("a planned step was refused: {refusal}"));
+    pub(super) fn planner_change_resolved(&mut self, response: &OperatorAnswer) {
+        if let OperatorAnswer::Refused(refusal) = response {
+            self.record_decision(format!("a planned step was refused: {refusal}"));
             if let Refusal::Fenced { duty } = refusal {
                 self.duty_fenced(duty);
             }
         }
-        self.plan_soon();
+        self.schedule_planning();
     }
 
     pub(super) fn command(&mut self, host: HostName, command: AgentCommand) {
         let recently =
-            self.commanded.get(&host).is_some_and(|at| self.now.since(*at) < COMMAND_INTERVAL);
+            self.last_commands.get(&host).is_some_and(|at| self.now.since(*at) < COMMAND_INTERVAL);
         let Some(record) = self.sync.fleet().and_then(|fleet| fleet.hosts.get(&host)) else {
             return;
         };
@@ -87,7 +87,7 @@
         }
         let agent = record.spec.addresses.agent;
         assert!(self.may_act(&Duty::Planner), "a command would leave after the lease's time");
-        self.commanded.insert(host.clone(), self.now);
+        self.last_commands.insert(host.clone(), self.now);
         self.effects.push(Effect::CommandHost { host, agent, command });
     }
 
--- a/crates/borageswitch_control/src/reducer/spreading.rs
+++ b/crates/borageswitch_control/src/reducer/propagation.rs
@@ -16,20 +16,20 @@
 use crate::{reducer::State, store::Version};
 
 /// A daemon that is behind asks a neighbour this often.
-const ASK_INTERVAL: Duration = Duration::from_millis(300);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Why a delta cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum DeltaFault {
+enum DeltaError {
     /// It starts after the revision that is known.
     Gap,
     /// It does not lead where its sender says.
-    Differs,
+    Mismatch,
 }
 
 impl State {
     /// Sends what has changed since `base` to every neighbour but the one from which it came.
-    pub(super) fn spread(&mut self, base: Revision, from: Option<&DaemonName>) {
+    pub(super) fn propagate(&mut self, base: Revision, from: Option<&DaemonName>) {
         let neighbours = self.neighbours();
         if neighbours.is_empty() {
             return;
@@ -59,20 +59,20 @@
 
     /// Asks a neighbour that knows more.
     pub(super) fn compare_revision(&mut self, from: &DaemonName, revision: Revision) {
-        self.note_revision(revision);
-        let (known, _) = self.known();
-        if revision > known && self.sync.next_ask <= self.now {
-            self.ask_fleet(from, known);
+        self.revision_seen(revision);
+        let (known, _) = self.known_document();
+        if revision > known && self.sync.next_fleet_request <= self.now {
+            self.request_fleet(from, known);
         }
     }
 
-    fn ask_fleet(&mut self, from: &DaemonName, have: Revision) {
-        self.sync.next_ask = self.now + ASK_INTERVAL;
+    fn request_fleet(&mut self, from: &DaemonName, have: Revision) {
+        self.sync.next_fleet_request = self.now + REQUEST_INTERVAL;
         self.send(from, PeerMessage::AskFleet { have });
     }
 
-    pub(super) fn fleet_asked(&mut self, from: &DaemonName, have: Revision) {
-        let (known, version) = self.known();
+    pub(super) fn fleet_requested(&mut self, from: &DaemonName, have: Revision) {
+        let (known, version) = self.known_document();
         if have >= known {
             return;
         }
@@ -88,18 +88,20 @@
     }
 
     pub(super) fn changes_received(&mut self, from: &DaemonName, delta: &Delta) {
-        let (known, _) = self.known();
+        let (known, _) = self.known_document();
         let newest = delta.changes.last().map_or(delta.base, |change| change.revision);
         if newest <= known {
             return;
         }
-        match self.sync.fleet().map(|fleet| follow(fleet, delta)) {
+        match self.sync.fleet().map(|fleet| apply_delta(fleet, delta)) {
             Some(Ok(fleet)) => self.adopt(fleet, Version(delta.store_version), Some(from)),
-            Some(Err(DeltaFault::Differs)) => {
-                self.decide(format!("the changes from {from} lead elsewhere; it is asked for all"));
-                self.ask_fleet(from, Revision::default());
+            Some(Err(DeltaError::Mismatch)) => {
+                self.record_decision(format!(
+                    "the changes from {from} lead elsewhere; it is asked for all"
+                ));
+                self.request_fleet(from, Revision::default());
             }
-            Some(Err(DeltaFault::Gap)) | None => self.ask_fleet(from, known),
+            Some(Err(DeltaError::Gap)) | None => self.request_fleet(from, known),
         }
     }
 
@@ -113,19 +115,19 @@
 }
 
 /// Applies a delta to a copy of the document.
-fn follow(fleet: &Fleet, delta: &Delta) -> Result<Fleet, DeltaFault> {
+fn apply_delta(fleet: &Fleet, delta: &Delta) -> Result<Fleet, DeltaError> {
     if delta.base > fleet.revision {
-        return Err(DeltaFault::Gap);
+        return Err(DeltaError::Gap);
     }
     let mut next = fleet.clone();
     for change in delta.changes.iter().filter(|change| change.revision > fleet.revision) {
         match changes::apply(&mut next, &change.request) {
             Ok(revision) if revision == change.revision => {}
-            _ => return Err(DeltaFault::Differs),
+            _ => return Err(DeltaError::Mismatch),
         }
     }
     match peer::fleet_digest(&next) {
         Ok(digest) if digest == delta.digest => Ok(next),
-        _ => Err(DeltaFault::Differs),
+        _ => Err(DeltaError::Mismatch),
     }
 }
--- a/crates/borageswitch_control/src/reducer/session.rs
+++ b/crates/borageswitch_control/src/reducer/session.rs
@@ -18,7 +18,7 @@
         State,
         store_calls::{Backoff, Purpose},
     },
-    store::{LeaseId, StoreAnswer, StoreError, StoreRequest, Version},
+    store::{LeaseId, StoreError, StoreRequest, StoreResponse, Version},
 };
 
 /// A lease is kept alive after this part of its time.
@@ -80,8 +80,8 @@
         self.lease().is_some() && self.caught_up
     }
 
-    pub(super) fn note_read(&mut self, asked_at: Time) {
-        self.caught_up |= self.lease().is_some() && asked_at >= self.registered_at;
+    pub(super) fn document_read(&mut self, sent_at: Time) {
+        self.caught_up |= self.lease().is_some() && sent_at >= self.registered_at;
     }
 }
 
@@ -105,65 +105,65 @@
         match (self.session.stage, self.session.lease) {
             (Stage::Idle, _) if !self.stopping => {
                 let ttl = self.cfg.duty_ttl;
-                self.session_call(Step::Grant, StoreRequest::GrantLease { ttl });
+                self.call_for_session(Step::Grant, StoreRequest::GrantLease { ttl });
             }
             (Stage::Held, Some(lease)) => {
-                self.session_call(Step::KeepAlive, StoreRequest::KeepAlive { lease });
+                self.call_for_session(Step::KeepAlive, StoreRequest::KeepAlive { lease });
             }
             _ => {}
         }
     }
 
-    fn session_call(&mut self, step: Step, request: StoreRequest) {
+    fn call_for_session(&mut self, step: Step, request: StoreRequest) {
         let keeps = step == Step::KeepAlive;
         self.session.stage = if keeps { Stage::KeepingAlive } else { Stage::Calling };
         self.call_store(Purpose::Session(step), request, self.cfg.store_timeout);
     }
 
-    pub(super) fn session_answered(
+    pub(super) fn session_response(
         &mut self,
         step: Step,
-        asked_at: Time,
-        outcome: Result<StoreAnswer, StoreError>,
+        sent_at: Time,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
         match (step, outcome) {
-            (Step::Grant, Ok(StoreAnswer::Lease { lease, .. })) => {
+            (Step::Grant, Ok(StoreResponse::Lease { lease, .. })) => {
                 self.session.lease = Some(lease);
-                self.lease_lasts(asked_at);
+                self.lease_extended(sent_at);
                 self.write_live();
             }
-            (Step::WriteLive, Ok(StoreAnswer::Written { .. })) => self.write_member(),
-            (Step::WriteMember, Ok(StoreAnswer::Written { version })) => {
+            (Step::WriteLive, Ok(StoreResponse::Written { .. })) => self.write_member(),
+            (Step::WriteMember, Ok(StoreResponse::Written { version })) => {
                 self.members.own_version = Some(version);
                 self.registered();
             }
-            (Step::WriteMember, Ok(StoreAnswer::Conflict)) => {
+            (Step::WriteMember, Ok(StoreResponse::Conflict)) => {
                 let request = StoreRequest::Get { key: self.member_key() };
-                self.session_call(Step::ReadMember, request);
+                self.call_for_session(Step::ReadMember, request);
             }
-            (Step::ReadMember, Ok(StoreAnswer::Value(found))) => {
+            (Step::ReadMember, Ok(StoreResponse::Value(found))) => {
                 self.members.own_version = found.map(|kv| kv.version);
                 self.write_member();
             }
-            (Step::KeepAlive, Ok(StoreAnswer::Lease { .. })) => {
+            (Step::KeepAlive, Ok(StoreResponse::Lease { .. })) => {
                 self.session.stage = Stage::Held;
                 self.session.backoff.reset();
-                self.lease_lasts(asked_at);
+                self.lease_extended(sent_at);
             }
             (Step::KeepAlive, Err(_)) => {
                 self.session.stage = Stage::Held;
                 // One call a second is little, and a lease kept late is better than one lost.
-                let wait = self.session.backoff.next_wait(RETRY_BASE, &mut self.rng);
+                let wait = self.session.backoff.next_delay(RETRY_BASE, &mut self.rng);
                 self.session.next_try = self.now + wait.min(self.cfg.duty_ttl / 6);
             }
             _ => self.session_lost(),
         }
     }
 
-    fn lease_lasts(&mut self, asked_at: Time) {
+    fn lease_extended(&mut self, sent_at: Time) {
         let ttl = self.cfg.duty_ttl;
-        self.session.valid_until = asked_at + (ttl - ttl / MARGIN_DIVISOR);
-        self.session.next_try = asked_at + ttl / KEEP_ALIVE_DIVISOR;
+        self.session.valid_until = sent_at + (ttl - ttl / MARGIN_DIVISOR);
+        self.session.next_try = sent_at + ttl / KEEP_ALIVE_DIVISOR;
     }
 
     fn write_member(&mut self) {
@@ -174,7 +174,7 @@
             value,
             lease: None,
         };
-        self.session_call(Step::WriteMember, request);
+        self.call_for_session(Step::WriteMember, request);
     }
 
     fn write_live(&mut self) {
@@ -184,7 +184,7 @@
             value: Arc::from(&b"live"[..]),
             lease: self.session.lease,
         };
-        self.session_call(Step::WriteLive, request);
+        self.call_for_session(Step::WriteLive, request);
     }
 
     fn registered(&mut self) {
@@ -200,11 +200,11 @@
     fn session_lost(&mut self) {
         if let Some(lease) = self.session.lease.take() {
             let request = StoreRequest::RevokeLease { lease };
-            self.call_store(Purpose::Farewell, request, self.cfg.store_timeout);
+            self.call_store(Purpose::Cleanup, request, self.cfg.store_timeout);
         }
         self.session.stage = Stage::Idle;
         self.session.caught_up = false;
-        let wait = self.session.backoff.next_wait(RETRY_BASE, &mut self.rng);
+        let wait = self.session.backoff.next_delay(RETRY_BASE, &mut self.rng);
         self.session.next_try = self.now + wait;
         self.lose_duties("the daemon's lease in the store has ended");
     }
@@ -214,11 +214,11 @@
         let timeout = self.cfg.store_timeout;
         if let Some(version) = self.members.own_version {
             let request = StoreRequest::Delete { key: self.member_key(), expected: version };
-            self.call_store(Purpose::Farewell, request, timeout);
+            self.call_store(Purpose::Cleanup, request, timeout);
         }
         if let Some(lease) = self.session.lease.take() {
             let request = StoreRequest::RevokeLease { lease };
-            self.call_store(Purpose::Farewell, request, timeout);
+            self.call_store(Purpose::Cleanup, request, timeout);
         }
     }
 }
--- a/crates/borageswitch_control/src/reducer/store_calls.rs
+++ b/crates/borageswitch_control/src/reducer/store_calls.rs
@@ -15,7 +15,7 @@
 use crate::{
     effect::Effect,
     reducer::{State, claims, duties, session},
-    store::{CallId, StoreAnswer, StoreError, StoreRequest},
+    store::{CallId, StoreError, StoreRequest, StoreResponse},
 };
 
 /// Calls a second that one daemon may make, those for its own lease not counted. Nine daemons
@@ -25,9 +25,9 @@
 const BUDGET_BURST: u64 = 80;
 const MICROS_PER_CALL: u64 = 1_000_000 / BUDGET_RATE;
 /// The longest wait between two tries.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// After this many timeouts without any event a call counts as lost, whatever the edge does.
-const OVERDUE: u32 = 2;
+const OVERDUE_TIMEOUTS: u32 = 2;
 
 /// Why a call to the store was made.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,11 +39,11 @@
     ListMembers {
         known: Revision,
     },
-    ForgetMember(DaemonName),
+    DeleteMember(DaemonName),
     Duty(Duty, duties::Step),
     Claims(u8, claims::Step),
     /// Nobody waits for the answer.
-    Farewell,
+    Cleanup,
 }
 
 impl Purpose {
@@ -54,23 +54,23 @@
             Purpose::WatchFleet => "watch_fleet",
             Purpose::WriteFleet => "write_fleet",
             Purpose::Session(_) => "lease",
-            Purpose::ListMembers { .. } | Purpose::ForgetMember(_) => "members",
+            Purpose::ListMembers { .. } | Purpose::DeleteMember(_) => "members",
             Purpose::Duty(..) => "duties",
             Purpose::Claims(..) => "claims",
-            Purpose::Farewell => "farewell",
+            Purpose::Cleanup => "farewell",
         }
     }
 
     /// Whether the call is made whatever the budget says: without its lease a daemon stops.
-    fn is_vital(&self) -> bool {
-        matches!(self, Purpose::Session(_) | Purpose::Farewell)
+    fn bypasses_budget(&self) -> bool {
+        matches!(self, Purpose::Session(_) | Purpose::Cleanup)
     }
 }
 
 #[derive(Debug)]
 pub(super) struct OpenCall {
     pub(super) purpose: Purpose,
-    pub(super) asked_at: Time,
+    pub(super) sent_at: Time,
     overdue_at: Time,
 }
 
@@ -120,8 +120,8 @@
         self.failures = 0;
     }
 
-    pub(super) fn next_wait(&mut self, base: Duration, rng: &mut fastrand::Rng) -> Duration {
-        let wait = (base * 2_u32.pow(self.failures.min(6))).min(LONGEST_BACKOFF);
+    pub(super) fn next_delay(&mut self, base: Duration, rng: &mut fastrand::Rng) -> Duration {
+        let wait = (base * 2_u32.pow(self.failures.min(6))).min(MAX_BACKOFF);
         self.failures += 1;
         wait.mul_f64(0.5 + rng.f64() / 2.0)
     }
@@ -136,12 +136,12 @@
     ) -> CallId {
         self.store_calls.last += 1;
         let call = CallId(self.store_calls.last);
-        let vital = purpose.is_vital();
+        let bypasses_budget = purpose.bypasses_budget();
         let name = purpose.name();
-        let overdue_at = self.now + timeout * OVERDUE;
-        let open = OpenCall { purpose, asked_at: self.now, overdue_at };
+        let overdue_at = self.now + timeout * OVERDUE_TIMEOUTS;
+        let open = OpenCall { purpose, sent_at: self.now, overdue_at };
         self.store_calls.open.insert(call, open);
-        if !vital && !self.store_calls.take_from_budget(self.now) {
+        if !bypasses_budget && !self.store_calls.take_from_budget(self.now) {
             self.store_calls.over_budget.push(call);
             return call;
         }
@@ -153,34 +153,36 @@
     /// Ends the calls that were over the budget, and those that the edge has forgotten.
     pub(super) fn store_calls_tick(&mut self) {
         for call in std::mem::take(&mut self.store_calls.over_budget) {
-            self.store_answered(call, Err(StoreError::NotSent));
+            self.store_responded(call, Err(StoreError::NotSent));
         }
         let now = self.now;
         let overdue = self.store_calls.open.iter().filter(|(_, open)| open.overdue_at <= now);
         let overdue: Vec<CallId> = overdue.map(|(call, _)| *call).collect();
         for call in overdue {
-            self.store_answered(call, Err(StoreError::AnswerLost));
+            self.store_responded(call, Err(StoreError::AnswerLost));
         }
     }
 
-    pub(super) fn store_answered(
+    pub(super) fn store_responded(
         &mut self,
         call: CallId,
-        outcome: Result<StoreAnswer, StoreError>,
+        outcome: Result<StoreResponse, StoreError>,
     ) {
-        let Some(OpenCall { purpose, asked_at, .. }) = self.store_calls.open.remove(&call) else {
+        let Some(OpenCall { purpose, sent_at, .. }) = self.store_calls.open.remove(&call) else {
             return;
         };
         match purpose {
-            Purpose::ReadFleet => self.fleet_read(asked_at, outcome),
+            Purpose::ReadFleet => self.fleet_read(sent_at, outcome),
             Purpose::WatchFleet => self.fleet_watched(outcome),
             Purpose::WriteFleet => self.fleet_written(outcome),
-            Purpose::Session(step) => self.session_answered(step, asked_at, outcome),
+            Purpose::Session(step) => self.session_response(step, sent_at, outcome),
             Purpose::ListMembers { known } => self.members_listed(known, outcome),
-            Purpose::ForgetMember(daemon) => self.member_forgotten(&daemon, &outcome),
-            Purpose::Duty(duty, step) => self.duty_answered(&duty, step, outcome),
-            Purpose::Claims(shard, step) => self.claims_answered(shard, step, asked_at, outcome),
-            Purpose::Farewell => {}
+            Purpose::DeleteMember(daemon) => self.member_deleted(&daemon, &outcome),
+            Purpose::Duty(duty, step) => self.duty_response(&duty, step, outcome),
+            Purpose::Claims(shard, step) => {
+                self.claims_store_response(shard, step, sent_at, outcome)
+            }
+            Purpose::Cleanup => {}
         }
     }
 }
--- a/crates/borageswitch_control/src/reducer/tree.rs
+++ b/crates/borageswitch_control/src/reducer/tree.rs
@@ -23,15 +23,15 @@
 use crate::{effect::Effect, reducer::State};
 
 /// What has changed is passed on at once, but not more often than this.
-const SOONEST_BEAT: Duration = Duration::from_millis(100);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// A child that sent no heartbeat for this many beats is no longer answered.
-const CHILD_BEATS: u32 = 3;
+const CHILD_TIMEOUT_HEARTBEATS: u32 = 3;
 /// Every so many beats a silent member is tried, so that a healed partition is noticed.
-const PROBE_BEATS: u64 = 4;
+const PROBE_INTERVAL_HEARTBEATS: u64 = 4;
 
 /// What was last heard of one daemon, directly or through others.
 #[derive(Clone, Debug)]
-pub(super) struct HeardState {
+pub(super) struct PeerContact {
     /// It lived at this time or later.
     pub(super) at: Time,
     pub(super) revision: Revision,
@@ -45,13 +45,13 @@
 /// The neighbours in the tree and the rhythm of heartbeats.
 #[derive(Debug, Default)]
 pub(super) struct Tree {
-    next_beat: Time,
-    last_beat: Time,
+    next_heartbeat: Time,
+    last_heartbeat: Time,
     /// Whether the next beat brings news to all neighbours, not to the parent alone.
-    has_news: bool,
-    beats: u64,
+    has_changes: bool,
+    heartbeats_sent: u64,
     /// When each neighbour last sent, on our clock, and its own sending time, to be echoed.
-    arrived: BTreeMap<DaemonName, Arrival>,
+    arrivals: BTreeMap<DaemonName, Arrival>,
     rosters: BTreeMap<DaemonName, u64>,
 }
 
@@ -63,22 +63,22 @@
 }
 
 impl State {
-    pub(super) fn beat_soon(&mut self) {
-        let soon = (self.tree.last_beat + SOONEST_BEAT).max(self.now);
-        self.tree.next_beat = self.tree.next_beat.min(soon);
-        self.tree.has_news = true;
+    pub(super) fn schedule_heartbeat(&mut self) {
+        let soon = (self.tree.last_heartbeat + MIN_HEARTBEAT_INTERVAL).max(self.now);
+        self.tree.next_heartbeat = self.tree.next_heartbeat.min(soon);
+        self.tree.has_changes = true;
     }
 
     pub(super) fn tree_tick(&mut self) {
-        if self.tree.next_beat > self.now || self.exited {
+        if self.tree.next_heartbeat > self.now || self.exited {
             return;
         }
-        self.tree.beats += 1;
-        self.tree.last_beat = self.now;
-        self.tree.next_beat = self.now + self.cfg.heartbeat;
+        self.tree.heartbeats_sent += 1;
+        self.tree.last_heartbeat = self.now;
+        self.tree.next_heartbeat = self.now + self.cfg.heartbeat_interval;
         // Children are answered when they send, so without news a beat is for the parent alone.
-        let has_news = std::mem::take(&mut self.tree.has_news);
-        let receivers = match has_news {
+        let has_changes = std::mem::take(&mut self.tree.has_changes);
+        let receivers = match has_changes {
             true => self.neighbours(),
             false => self.parent().into_iter().collect(),
         };
@@ -92,7 +92,7 @@
 
     /// The parent, if any, and the children that sent lately.
     pub(super) fn neighbours(&self) -> Vec<DaemonName> {
-        let children = self.tree.arrived.keys().filter(|daemon| self.is_child(daemon));
+        let children = self.tree.arrivals.keys().filter(|daemon| self.is_child(daemon));
         let mut neighbours: Vec<DaemonName> = children.cloned().collect();
         if let Some(parent) = self.parent()
             && !neighbours.contains(&parent)
@@ -104,27 +104,27 @@
 
     /// Whether a daemon has lately taken this one for its parent.
     fn is_child(&self, daemon: &DaemonName) -> bool {
-        let recent = self.cfg.heartbeat * CHILD_BEATS;
-        let arrival = self.tree.arrived.get(daemon);
+        let recent = self.cfg.heartbeat_interval * CHILD_TIMEOUT_HEARTBEATS;
+        let arrival = self.tree.arrivals.get(daemon);
         arrival.is_some_and(|a| a.is_child && a.at + recent > self.now)
     }
 
     pub(super) fn parent(&self) -> Option<DaemonName> {
         let here = &self.cfg.me.data_centre;
-        let hub = self.head(&Duty::Relay(here.clone()), Some(here));
-        if hub != *self.me() {
-            return Some(hub);
+        let relay = self.duty_head(&Duty::Relay(here.clone()), Some(here));
+        if relay != *self.me() {
+            return Some(relay);
         }
-        let root = self.head(&Duty::Planner, None);
+        let root = self.duty_head(&Duty::Planner, None);
         (root != *self.me()).then_some(root)
     }
 
     /// The holder of a duty, or the lowest name that may be alive to stand in for it.
-    fn head(&self, duty: &Duty, within: Option<&DataCentreName>) -> DaemonName {
+    fn duty_head(&self, duty: &Duty, within: Option<&DataCentreName>) -> DaemonName {
         if self.duties.fence(duty).is_some() {
             return self.me().clone();
         }
-        if let Some(holder) = self.holder_heard(duty) {
+        if let Some(holder) = self.recent_holder(duty) {
             return holder.clone();
         }
         let inside = |member: &Member| within.is_none_or(|dc| *dc == member.data_centre);
@@ -135,15 +135,18 @@
 
     /// A known member that is not heard, another one each time.
     fn silent_member(&self) -> Option<DaemonName> {
-        if !self.tree.beats.is_multiple_of(PROBE_BEATS) {
+        if !self.tree.heartbeats_sent.is_multiple_of(PROBE_INTERVAL_HEARTBEATS) {
             return None;
         }
         let silent = self.members.known.keys().filter(|daemon| {
-            self.members.heard.get(*daemon).is_none_or(|h| h.at + self.cfg.silence <= self.now)
+            self.members
+                .contacts
+                .get(*daemon)
+                .is_none_or(|h| h.at + self.cfg.silence_timeout <= self.now)
         });
         let silent: Vec<&DaemonName> = silent.collect();
-        let turn = (self.tree.beats / PROBE_BEATS) as usize;
-        (!silent.is_empty()).then(|| silent[turn % silent.len()].clone())
+        let round = (self.tree.heartbeats_sent / PROBE_INTERVAL_HEARTBEATS) as usize;
+        (!silent.is_empty()).then(|| silent[round % silent.len()].clone())
     }
 
     fn send_heartbeat(&mut self, to: &DaemonName) {
@@ -159,21 +162,21 @@
     }
 
     fn make_heartbeat(&self, to: &DaemonName) -> Heartbeat {
-        let silence = self.cfg.silence;
-        let others = self.members.heard.iter();
+        let silence = self.cfg.silence_timeout;
+        let others = self.members.contacts.iter();
         let others = others.filter(|(d, h)| *d != to && h.at + silence > self.now);
-        let heard = others.map(|(daemon, heard)| Heard {
+        let heard = others.map(|(daemon, contact)| Heard {
             daemon: daemon.clone(),
-            age_ms: self.now.since(heard.at).as_millis() as u32 + 1,
-            revision: heard.revision,
-            progress: heard.progress.clone(),
-            duties: heard.duties.clone(),
+            age_ms: self.now.since(contact.at).as_millis() as u32 + 1,
+            revision: contact.revision,
+            progress: contact.progress.clone(),
+            duties: contact.duties.clone(),
         });
         Heartbeat {
             sent: self.now,
-            echo: self.tree.arrived.get(to).map(|arrival| arrival.sent),
-            to_parent: self.wants_answer(to),
-            revision: self.known().0,
+            echo: self.tree.arrivals.get(to).map(|arrival| arrival.sent),
+            to_parent: self.wants_response(to),
+            revision: self.known_document().0,
             progress: self.own_progress(),
             duties: self.duties.held(),
             heard: heard.collect(),
@@ -181,7 +184,7 @@
     }
 
     /// Whether an answer is wanted: the receiver is the parent, or a silent member that is tried.
-    fn wants_answer(&self, to: &DaemonName) -> bool {
+    fn wants_response(&self, to: &DaemonName) -> bool {
         self.parent().as_ref() == Some(to) || !self.is_child(to)
     }
 
@@ -191,18 +194,24 @@
 
     pub(super) fn heartbeat_received(&mut self, from: &DaemonName, heartbeat: Heartbeat) {
         let arrival = Arrival { at: self.now, sent: heartbeat.sent, is_child: heartbeat.to_parent };
-        let known = self.tree.arrived.get(from);
+        let known = self.tree.arrivals.get(from);
         if known.is_none_or(|known| known.sent <= heartbeat.sent) {
-            self.tree.arrived.insert(from.clone(), arrival);
+            self.tree.arrivals.insert(from.clone(), arrival);
         }
         let is_parent = self.parent().as_ref() == Some(from);
         let Heartbeat { echo, revision, progress, duties, heard, .. } = heartbeat;
         if let Some(at) = echo.filter(|echo| *echo <= self.now) {
-            self.hear(from, at, revision, progress, duties);
+            self.record_contact(from, at, revision, progress, duties);
             for other in heard {
                 let age = Duration::from_millis(u64::from(other.age_ms));
                 let at = Time::from_micros(at.as_micros().saturating_sub(age.as_micros() as u64));
-                self.hear(&other.daemon, at, other.revision, other.progress, other.duties);
+                self.record_contact(
+                    &other.daemon,
+                    at,
+                    other.revision,
+                    other.progress,
+                    other.duties,
+                );
             }
         }
         if arrival.is_child && !is_parent {
@@ -212,7 +221,7 @@
         self.compare_revision(from, revision);
     }
 
-    fn hear(
+    fn record_contact(
         &mut self,
         daemon: &DaemonName,
         at: Time,
@@ -220,7 +229,7 @@
         progress: Progress,
         duties: Vec<Duty>,
     ) {
-        let known = self.members.heard.get(daemon);
+        let known = self.members.contacts.get(daemon);
         if daemon == self.me() || known.is_some_and(|known| known.at >= at) {
             return;
         }
@@ -232,13 +241,14 @@
                 acks.insert(host.clone(), (*epoch, self.now));
             }
         }
-        let news = known.is_none_or(|known| known.progress != progress || known.duties != duties);
-        let state = HeardState { at, revision, progress, duties, acks };
-        self.members.heard.insert(daemon.clone(), state);
-        if news {
-            self.beat_soon();
-            self.plan_soon();
-            self.answer_waits();
+        let has_changed =
+            known.is_none_or(|known| known.progress != progress || known.duties != duties);
+        let state = PeerContact { at, revision, progress, duties, acks };
+        self.members.contacts.insert(daemon.clone(), state);
+        if has_changed {
+            self.schedule_heartbeat();
+            self.schedule_planning();
+            self.resolve_waits();
         }
     }
 }
--- a/crates/borageswitch_control/src/reducer/views.rs
+++ b/crates/borageswitch_control/src/reducer/views.rs
@@ -24,9 +24,9 @@
 
     /// Deals the targets' slots anew when the set of serving daemons has changed.
     pub(super) fn refresh_entries(&mut self) {
-        let silence = self.cfg.silence;
-        let heard = self.members.heard.iter();
-        let serving = heard.filter(|(_, h)| h.progress.serving && h.at + silence > self.now);
+        let silence = self.cfg.silence_timeout;
+        let contacts = self.members.contacts.iter();
+        let serving = contacts.filter(|(_, h)| h.progress.serving && h.at + silence > self.now);
         let mut entries: Vec<DaemonName> = serving.map(|(daemon, _)| daemon.clone()).collect();
         entries.push(self.me().clone());
         entries.sort_unstable();
--- a/crates/borageswitch_control/src/reducer/writing.rs
+++ b/crates/borageswitch_control/src/reducer/writing.rs
@@ -14,27 +14,27 @@
 use borageswitch_wire::operator::OperatorAnswer;
 
 use crate::{
-    event::OperatorCall,
+    event::OperatorCallId,
     reducer::{
         State,
         store_calls::{Backoff, Purpose},
     },
-    store::{StoreAnswer, StoreError, StoreRequest},
+    store::{StoreError, StoreRequest, StoreResponse},
 };
 
 /// How long an operator's change is tried before the answer is that it is undecided, in
 /// multiples of the store's timeout.
-const PATIENCE: u32 = 5;
+const CHANGE_TIMEOUTS: u32 = 5;
 /// The most changes in one write; more would let one refusal hold up many operators.
-const BATCH: usize = 16;
+const MAX_BATCH: usize = 16;
 /// The most changes that wait: the rest are told at once that they were not tried.
-const QUEUE: usize = 256;
+const MAX_QUEUE: usize = 256;
 const RETRY_BASE: Duration = Duration::from_millis(50);
 
 /// Who waits for a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    Operator(OperatorCall),
+    Operator(OperatorCallId),
     Planner,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct Batch {
     next: Fleet,
-    answers: Vec<OperatorAnswer>,
+    responses: Vec<OperatorAnswer>,
 }
 
 /// The changes that wait and the write in flight.
@@ -65,7 +65,7 @@
 }
 
 impl Writer {
-    pub(super) fn holds_planner_change(&self) -> bool {
+    pub(super) fn has_planner_change(&self) -> bool {
         self.queue.iter().any(|pending| pending.origin == Origin::Planner)
     }
 
@@ -76,12 +76,12 @@
 
 impl State {
     pub(super) fn queue_change(&mut self, origin: Origin, req: ChangeRequest) {
-        if self.writer.queue.len() >= QUEUE {
+        if self.writer.queue.len() >= MAX_QUEUE {
             let detail = Arc::from("too many changes wait at this daemon; nothing was tried");
-            self.conclude(origin, OperatorAnswer::Undecided { detail });
+            self.resolve_change(origin, OperatorAnswer::Undecided { detail });
             return;
         }
-        let until = self.now + self.cfg.store_timeout * PATIENCE;
+        let until = self.now + self.cfg.store_timeout * CHANGE_TIMEOUTS;
         self.writer.queue.push_back(Pending { origin, req, until });
         self.write_next();
     }
@@ -94,7 +94,7 @@
             self.writer.queue.pop_front_if(|pending| pending.until <= self.now)
         {
             let detail = Arc::from("the platform's store did not answer in time");
-            self.conclude(pending.origin, OperatorAnswer::Undecided { detail });
+            self.resolve_change(pending.origin, OperatorAnswer::Undecided { detail });
         }
         if self.writer.read_needed.is_some() && !self.writer.queue.is_empty() {
             self.read_fleet_for_writer();
@@ -129,17 +129,17 @@
         }
         let Some(fleet) = self.sync.fleet().cloned() else { return };
         let mut next = Fleet::clone(&fleet);
-        let pending = self.writer.queue.iter().take(BATCH);
-        let answers = pending.map(|pending| match changes::apply(&mut next, &pending.req) {
+        let pending = self.writer.queue.iter().take(MAX_BATCH);
+        let responses = pending.map(|pending| match changes::apply(&mut next, &pending.req) {
             Ok(revision) => OperatorAnswer::Accepted { revision },
             Err(refusal) => OperatorAnswer::Refused(refusal),
         });
-        let answers: Vec<OperatorAnswer> = answers.collect();
+        let responses: Vec<OperatorAnswer> = responses.collect();
         if next.revision == fleet.revision {
-            self.conclude_first(answers);
+            self.resolve_first(responses);
             return;
         }
-        self.write(Batch { next, answers });
+        self.write(Batch { next, responses });
     }
 
     fn write(&mut self, batch: Batch) {
@@ -160,17 +160,17 @@
         self.call_store(Purpose::WriteFleet, request, self.cfg.store_timeout);
     }
 
-    pub(super) fn fleet_written(&mut self, outcome: Result<StoreAnswer, StoreError>) {
+    pub(super) fn fleet_written(&mut self, outcome: Result<StoreResponse, StoreError>) {
         let Some(batch) = self.writer.writing.take() else { return };
         match outcome {
-            Ok(StoreAnswer::Written { version }) => {
+            Ok(StoreResponse::Written { version }) => {
                 self.writer.backoff.reset();
                 self.adopt(batch.next, version, None);
-                self.conclude_first(batch.answers);
+                self.resolve_first(batch.responses);
                 self.write_next();
             }
             Err(StoreError::NotSent | StoreError::Refused) => {
-                let wait = self.writer.backoff.next_wait(RETRY_BASE, &mut self.rng);
+                let wait = self.writer.backoff.next_delay(RETRY_BASE, &mut self.rng);
                 self.writer.next_try = self.now + wait;
             }
             _ => {
@@ -181,26 +181,26 @@
     }
 
     /// The document was read by a call made at `asked`.
-    pub(super) fn writer_read(&mut self, asked: Time) {
-        if self.writer.read_needed.is_some_and(|needed| asked >= needed) {
+    pub(super) fn writer_read(&mut self, sent_at: Time) {
+        if self.writer.read_needed.is_some_and(|needed| sent_at >= needed) {
             self.writer.read_needed = None;
             self.writer.next_try = self.now;
         }
         self.write_next();
     }
 
-    fn conclude_first(&mut self, answers: Vec<OperatorAnswer>) {
-        for answer in answers {
+    fn resolve_first(&mut self, responses: Vec<OperatorAnswer>) {
+        for response in responses {
             if let Some(pending) = self.writer.queue.pop_front() {
-                self.conclude(pending.origin, answer);
+                self.resolve_change(pending.origin, response);
             }
         }
     }
 
-    fn conclude(&mut self, origin: Origin, answer: OperatorAnswer) {
+    fn resolve_change(&mut self, origin: Origin, response: OperatorAnswer) {
         match origin {
-            Origin::Operator(call) => self.answer(call, answer),
-            Origin::Planner => self.planner_step_concluded(&answer),
+            Origin::Operator(call) => self.respond(call, response),
+            Origin::Planner => self.planner_change_resolved(&response),
         }
     }
 }
--- a/crates/borageswitch_control/src/store.rs
+++ b/crates/borageswitch_control/src/store.rs
@@ -115,7 +115,7 @@
 
 /// What the store answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// To a read or watch; nothing if the key does not exist, or did not change.
     Value(Option<KeyValue>),
     /// To a list.
--- a/crates/borageswitch_control/tests/golden.rs
+++ b/crates/borageswitch_control/tests/golden.rs
@@ -40,10 +40,10 @@
     let decisions = world.decisions.iter();
     let decisions =
         decisions.map(|(at, text)| format!("{:5.1} {text}", at.as_micros() as f64 / 1e6));
-    let answers = world.answers.iter();
-    let answers =
-        answers.map(|(daemon, call, answer)| format!("{daemon} answers {call}: {answer:?}"));
-    decisions.chain(answers).collect::<Vec<_>>().join("\n")
+    let responses = world.responses.iter();
+    let responses =
+        responses.map(|(daemon, call, response)| format!("{daemon} answers {call}: {response:?}"));
+    decisions.chain(responses).collect::<Vec<_>>().join("\n")
 }
 
 /// The store goes away for everyone in the middle of a wave. Callers notice nothing, since all
@@ -103,12 +103,12 @@
     world.change(&names[2], 4, "hold", hold);
     let wait =
         |revision| OperatorRequest::WaitInForce { revision, timeout: Duration::from_secs(2) };
-    let truth = world.checker.truth.as_ref().map(|fleet| fleet.revision).unwrap_or_default();
-    world.ask(&names[1], 5, wait(truth));
+    let truth = world.checker.stored_fleet.as_ref().map(|fleet| fleet.revision).unwrap_or_default();
+    world.operator_request(&names[1], 5, wait(truth));
     world.run_until(Duration::from_secs(5));
 
-    let in_force = |answer: &OperatorAnswer| matches!(answer, OperatorAnswer::InForce { lagging, .. } if lagging.is_empty());
-    assert!(world.answers.iter().any(|(_, _, answer)| in_force(answer)));
+    let in_force = |response: &OperatorAnswer| matches!(response, OperatorAnswer::InForce { lagging, .. } if lagging.is_empty());
+    assert!(world.responses.iter().any(|(_, _, response)| in_force(response)));
     insta::assert_snapshot!(session(&world));
 }
 
--- a/crates/borageswitch_control/tests/guards.rs
+++ b/crates/borageswitch_control/tests/guards.rs
@@ -12,13 +12,13 @@
 use crate::support::{faults::Faults, run, world::World};
 
 /// What a run without a guard ends with, or nothing if no check noticed.
-fn verdict(seed: u64, guards: Guards) -> Option<String> {
-    failure(|| {
+fn failure_of_seed(seed: u64, guards: Guards) -> Option<String> {
+    panic_message(|| {
         run(seed, guards);
     })
 }
 
-fn failure<F>(run: F) -> Option<String>
+fn panic_message<F>(run: F) -> Option<String>
 where
     F: FnOnce() + panic::UnwindSafe,
 {
@@ -31,13 +31,13 @@
 /// Asserts that some of the named seeds are caught for the expected reason, and that all of them
 /// pass with every guard on.
 fn assert_caught(seeds: &[u64], guards: Guards, expected: &str) {
-    let found = seeds.iter().filter_map(|seed| Some((seed, verdict(*seed, guards)?)));
+    let found = seeds.iter().filter_map(|seed| Some((seed, failure_of_seed(*seed, guards)?)));
     let found: Vec<_> = found.collect();
     let caught: Vec<_> = found.iter().filter(|(_, text)| text.contains(expected)).collect();
     println!("caught: {caught:?}");
     assert!(!caught.is_empty(), "no seed is caught by '{expected}', only {found:?}");
     for seed in seeds {
-        assert_eq!(verdict(*seed, Guards::default()), None, "seed {seed} with all guards");
+        assert_eq!(failure_of_seed(*seed, Guards::default()), None, "seed {seed} with all guards");
     }
 }
 
@@ -93,14 +93,14 @@
 fn without_the_self_fence_a_lost_daemon_sends_work() {
     let guards = Guards { self_fence: false, ..Guards::default() };
 
-    let found = failure(|| run_with_a_lost_daemon(guards)).expect("the run is caught");
+    let found = panic_message(|| run_with_a_lost_daemon(guards)).expect("the run is caught");
 
     // Which comes first depends on when the host reboots: a request that the lost daemon sent
     // before is cut by it, or one that it sends afterwards meets a host that is out.
     let effects = ["entry-04 sends new work", "requests of [entry-04] in flight"];
     let is_lost_daemons = effects.iter().any(|effect| found.contains(effect));
     assert!(is_lost_daemons, "caught for another reason: {found}");
-    assert_eq!(failure(|| run_with_a_lost_daemon(Guards::default())), None);
+    assert_eq!(panic_message(|| run_with_a_lost_daemon(Guards::default())), None);
 }
 
 #[test]
@@ -117,7 +117,8 @@
         ("self_fence", Guards { self_fence: false, ..all }),
     ];
     for (name, guards) in variants {
-        let caught = (0..count).filter_map(|seed: u64| Some((seed, verdict(seed, guards)?)));
+        let caught =
+            (0..count).filter_map(|seed: u64| Some((seed, failure_of_seed(seed, guards)?)));
         for (seed, text) in caught.take(4) {
             println!("FOUND {name} {seed}: {text}");
         }
--- a/crates/borageswitch_control/tests/lost_lists.rs
+++ b/crates/borageswitch_control/tests/lost_lists.rs
@@ -23,7 +23,7 @@
     let names = world.names();
     let settings = WaveSettings { trial: Duration::from_millis(300), ..Default::default() };
     let change = FleetChange::StartWave { wave: "wave".into(), hosts: vec![], settings };
-    world.answers_one_list_in = 3;
+    world.list_response_interval = 3;
 
     world.crash(names.last().expect("there are five daemons"));
     world.change(&names[0], 2, "start", change);
--- a/crates/borageswitch_control/tests/randomised.rs
+++ b/crates/borageswitch_control/tests/randomised.rs
@@ -17,13 +17,13 @@
 const THREADS: usize = 3;
 /// Seeds that have shown a fault: 210, a daemon that the planner had forgotten while it was paused
 /// registered again and was not asked for its confirmation.
-const FAULTY_ONCE: [u64; 1] = [210];
-const SETTLE_STEP: Duration = Duration::from_millis(100);
-const SETTLE_STEPS: usize = 50;
+const REGRESSION_SEEDS: [u64; 1] = [210];
+const RECOVERY_STEP: Duration = Duration::from_millis(100);
+const RECOVERY_STEPS: usize = 50;
 
 /// What is not as it should be long after the last fault, if anything.
-fn unsettled(world: &World) -> Option<String> {
-    let truth = world.checker.truth.as_ref()?;
+fn unrecovered(world: &World) -> Option<String> {
+    let truth = world.checker.stored_fleet.as_ref()?;
     for (daemon, fake) in &world.daemons {
         let revision = fake.state.fleet().map(|fleet| fleet.revision);
         if fake.state.fleet().is_none_or(|fleet| **fleet != *truth) {
@@ -46,7 +46,7 @@
         Some(seed) => vec![seed],
         None => {
             let count = read("BORAGESWITCH_SEEDS").unwrap_or(usual);
-            (0..count).chain(FAULTY_ONCE).collect()
+            (0..count).chain(REGRESSION_SEEDS).collect()
         }
     }
 }
@@ -58,11 +58,12 @@
 #[test]
 fn no_promise_breaks_and_all_recovers() {
     let seeds = seeds(SEEDS);
-    let part = seeds.len().div_ceil(THREADS).max(1);
+    let chunk_len = seeds.len().div_ceil(THREADS).max(1);
     let totals = std::thread::scope(|scope| {
-        let parts: Vec<_> =
-            seeds.chunks(part).map(|seeds| scope.spawn(|| run_seeds(seeds))).collect();
-        let totals = parts.into_iter().map(|part| part.join().expect("no seed breaks a promise"));
+        let handles: Vec<_> =
+            seeds.chunks(chunk_len).map(|seeds| scope.spawn(|| run_seeds(seeds))).collect();
+        let totals =
+            handles.into_iter().map(|handle| handle.join().expect("no seed breaks a promise"));
         totals.fold([0; 3], |sum, part| std::array::from_fn(|i| sum[i] + part[i]))
     });
 
@@ -75,11 +76,11 @@
     let mut totals = [0; 3];
     for seed in seeds {
         let mut world = run(*seed, Guards::default());
-        let settled = (0..SETTLE_STEPS).any(|_| {
-            world.run_until(world.now.since(Time::ZERO) + SETTLE_STEP);
-            unsettled(&world).is_none()
+        let recovered = (0..RECOVERY_STEPS).any(|_| {
+            world.run_until(world.now.since(Time::ZERO) + RECOVERY_STEP);
+            unrecovered(&world).is_none()
         });
-        assert!(settled, "seed {seed}: {:?}", unsettled(&world));
+        assert!(recovered, "seed {seed}: {:?}", unrecovered(&world));
         let checker = &world.checker;
         totals[0] += checker.reboots;
         totals[1] += checker.grants;
@@ -94,7 +95,7 @@
 #[test]
 fn a_claim_that_is_given_back_is_granted_once_more() {
     let seeds = seeds(RELEASE_SEEDS);
-    let part = seeds.len().div_ceil(THREADS).max(1);
+    let chunk_len = seeds.len().div_ceil(THREADS).max(1);
     let totals = std::thread::scope(|scope| {
         let count = |seeds: &[u64]| {
             let counts = seeds.iter().map(|seed| {
@@ -103,9 +104,10 @@
             });
             counts.fold([0; 3], |sum, one| std::array::from_fn(|i| sum[i] + one[i]))
         };
-        let parts: Vec<_> =
-            seeds.chunks(part).map(|part| scope.spawn(move || count(part))).collect();
-        let totals = parts.into_iter().map(|part| part.join().expect("no seed breaks a promise"));
+        let handles: Vec<_> =
+            seeds.chunks(chunk_len).map(|part| scope.spawn(move || count(part))).collect();
+        let totals =
+            handles.into_iter().map(|handle| handle.join().expect("no seed breaks a promise"));
         totals.fold([0; 3], |sum, part| std::array::from_fn(|i| sum[i] + part[i]))
     });
 
@@ -126,7 +128,7 @@
     }
     world.run_until(Duration::from_secs(5));
 
-    (0..200).for_each(|id| world.give_back_granted(id));
+    (0..200).for_each(|id| world.release_granted(id));
     world.run_until(Duration::from_millis(5_200));
     for id in 0..200 {
         world.claim(&names[(id as usize + 1) % names.len()], id);
--- a/crates/borageswitch_control/tests/support/checker.rs
+++ b/crates/borageswitch_control/tests/support/checker.rs
@@ -12,7 +12,7 @@
 /// The truth of the store's document and what was seen of it.
 #[derive(Debug, Default)]
 pub struct Checker {
-    pub truth: Option<Fleet>,
+    pub stored_fleet: Option<Fleet>,
     published: BTreeMap<DaemonName, Revision>,
     operations: BTreeSet<OperationId>,
     granted: BTreeMap<u64, (DaemonName, ClaimTicket)>,
@@ -31,7 +31,8 @@
     /// A new value of the fleet document took effect in the store.
     pub fn committed(&mut self, bytes: &[u8]) {
         let fleet: Fleet = serde_json::from_slice(bytes).expect("the document can be read");
-        let before = self.truth.as_ref().map_or(Revision(0), |truth| truth.revision);
+        let before =
+            self.stored_fleet.as_ref().map_or(Revision(0), |stored_fleet| stored_fleet.revision);
         assert!(fleet.revision > before, "the store's document went back to {}", fleet.revision);
         for change in fleet.recent.iter().filter(|change| change.revision > before) {
             let operation = &change.request.operation;
@@ -43,7 +44,7 @@
         }
         let reserved = fleet.reserved_power();
         assert!(reserved <= fleet.power_cap, "{reserved} reserved under {}", fleet.power_cap);
-        self.truth = Some(fleet);
+        self.stored_fleet = Some(fleet);
     }
 
     pub fn published(&mut self, daemon: &DaemonName, revision: Revision) {
@@ -54,9 +55,9 @@
     /// A request goes to a host for a service.
     pub fn request_started(&mut self, daemon: &DaemonName, host: &HostName, service: &ServiceName) {
         self.requests += 1;
-        let truth = self.truth.as_ref().expect("requests follow the first document");
-        let Some(record) = truth.hosts.get(host) else { return };
-        let pool = &truth.services[service].pool;
+        let stored_fleet = self.stored_fleet.as_ref().expect("requests follow the first document");
+        let Some(record) = stored_fleet.hosts.get(host) else { return };
+        let pool = &stored_fleet.services[service].pool;
         assert!(record.pool == *pool, "{daemon} sends work of {pool} to {host} of {}", record.pool);
         let is_out = matches!(record.phase, HostPhase::Rebooting { .. } | HostPhase::Held { .. });
         assert!(!is_out, "{daemon} sends new work to {host}, which is {:?}", record.phase);
--- a/crates/borageswitch_control/tests/support/mod.rs
+++ b/crates/borageswitch_control/tests/support/mod.rs
@@ -21,12 +21,12 @@
 
 use self::{faults::Faults, world::World};
 
-const END: Duration = Duration::from_secs(50);
+const RUN_TIME: Duration = Duration::from_secs(50);
 
 /// Tells which seed to run again when a check fails.
-struct NameOnPanic(u64);
+struct PrintSeedOnPanic(u64);
 
-impl Drop for NameOnPanic {
+impl Drop for PrintSeedOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!(
@@ -39,20 +39,20 @@
 
 /// One randomised run of three to nine daemons with every kind of fault.
 pub fn run(seed: u64, guards: Guards) -> World {
-    let _named = NameOnPanic(seed);
+    let _print_seed = PrintSeedOnPanic(seed);
     let entries = 3 + (seed % 7) as u16;
     let mut world = World::new(seed, entries, Faults::many(), guards);
-    world.run_until(END);
+    world.run_until(RUN_TIME);
     world
 }
 
 /// The same with requests that are granted, not sent, and sent again by their callers.
 pub fn run_with_releases(seed: u64, guards: Guards) -> World {
-    let _named = NameOnPanic(seed);
+    let _print_seed = PrintSeedOnPanic(seed);
     let entries = 3 + (seed % 7) as u16;
     let mut world = World::new(seed, entries, Faults::many(), guards);
-    world.unsent = Some(fastrand::Rng::with_seed(seed));
-    world.run_until(END);
+    world.unsent_rng = Some(fastrand::Rng::with_seed(seed));
+    world.run_until(RUN_TIME);
     world
 }
 
--- a/crates/borageswitch_control/tests/support/store.rs
+++ b/crates/borageswitch_control/tests/support/store.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use borageswitch_control::store::{KeyValue, LeaseId, StoreAnswer, StoreRequest, Version};
+use borageswitch_control::store::{KeyValue, LeaseId, StoreRequest, StoreResponse, Version};
 use borageswitch_types::Time;
 
 #[derive(Clone, Debug)]
@@ -43,53 +43,53 @@
     }
 
     /// Executes a call; a watch is answered as a read.
-    pub fn execute(&mut self, now: Time, request: &StoreRequest) -> StoreAnswer {
+    pub fn execute(&mut self, now: Time, request: &StoreRequest) -> StoreResponse {
         self.expire(now);
         match request {
             StoreRequest::Get { key } | StoreRequest::Watch { key, .. } => {
-                StoreAnswer::Value(self.read(key))
+                StoreResponse::Value(self.read(key))
             }
             StoreRequest::List { prefix } => {
                 let keys = self.keys.keys().filter(|key| key.starts_with(&**prefix));
-                StoreAnswer::Values(keys.filter_map(|key| self.read(key)).collect())
+                StoreResponse::Values(keys.filter_map(|key| self.read(key)).collect())
             }
             StoreRequest::CompareAndSwap { key, expected, value, lease } => {
                 if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-                    return StoreAnswer::LeaseLost;
+                    return StoreResponse::LeaseLost;
                 }
                 if self.version(key) != *expected {
-                    return StoreAnswer::Conflict;
+                    return StoreResponse::Conflict;
                 }
                 let version = Version(self.next());
                 let entry = Entry { version, value: value.clone(), lease: *lease };
                 self.keys.insert(key.clone(), entry);
-                StoreAnswer::Written { version }
+                StoreResponse::Written { version }
             }
             StoreRequest::Delete { key, expected } => {
                 if self.version(key) != *expected {
-                    return StoreAnswer::Conflict;
+                    return StoreResponse::Conflict;
                 }
                 self.keys.remove(key);
-                StoreAnswer::Done
+                StoreResponse::Done
             }
             StoreRequest::GrantLease { ttl } => {
                 let lease = LeaseId(self.next());
                 self.leases.insert(lease, now + *ttl);
                 self.ttls.insert(lease, *ttl);
-                StoreAnswer::Lease { lease, ttl: *ttl }
+                StoreResponse::Lease { lease, ttl: *ttl }
             }
             StoreRequest::KeepAlive { lease } => match self.leases.get_mut(lease) {
                 Some(until) => {
                     let ttl = self.ttls[lease];
                     *until = now + ttl;
-                    StoreAnswer::Lease { lease: *lease, ttl }
+                    StoreResponse::Lease { lease: *lease, ttl }
                 }
-                None => StoreAnswer::LeaseLost,
+                None => StoreResponse::LeaseLost,
             },
             StoreRequest::RevokeLease { lease } => {
                 self.leases.remove(lease);
                 self.expire(now);
-                StoreAnswer::Done
+                StoreResponse::Done
             }
         }
     }
--- a/crates/borageswitch_control/tests/support/world/claims.rs
+++ b/crates/borageswitch_control/tests/support/world/claims.rs
@@ -12,7 +12,7 @@
 
 impl World {
     pub fn claim(&mut self, daemon: &DaemonName, id: u64) {
-        let ticket = ClaimTicket(self.last + 1);
+        let ticket = ClaimTicket(self.last_sequence + 1);
         let Some(fake) = self.daemons.get_mut(daemon) else { return };
         fake.tickets.insert(ticket, id);
         let claim = ClaimRequest {
@@ -24,12 +24,12 @@
         self.at(Duration::ZERO, Action::Deliver(daemon.clone(), Event::Claim(claim)));
     }
 
-    pub(super) fn race_claims(&mut self) {
+    pub(super) fn claim_concurrently(&mut self) {
         let wait = self.millis(5, 100);
-        if self.is_disturbed() {
+        if self.faults_enabled() {
             self.at(wait, Action::Claim);
         }
-        let id = self.last;
+        let id = self.last_sequence;
         for _ in 0..self.rng.usize(1..=3) {
             let daemon = self.any_daemon();
             self.claim(&daemon, id);
@@ -38,15 +38,15 @@
 
     /// Half of the granted requests are not sent. Most of them give their claim back, some twice,
     /// and their callers send them again. Some that were refused give back what they never had.
-    pub(super) fn give_back(
+    pub(super) fn release_unsent(
         &mut self,
         daemon: &DaemonName,
         ticket: ClaimTicket,
         id: u64,
-        got: ClaimOutcome,
+        outcome: ClaimOutcome,
     ) {
-        let Some(rng) = &mut self.unsent else { return };
-        let granted = got == ClaimOutcome::Granted;
+        let Some(rng) = &mut self.unsent_rng else { return };
+        let granted = outcome == ClaimOutcome::Granted;
         let share = if granted { 0.5 } else { 0.1 };
         if rng.f64() >= share {
             return;
@@ -75,7 +75,7 @@
     }
 
     /// The daemon that was granted a request gives its claim back.
-    pub fn give_back_granted(&mut self, id: u64) {
+    pub fn release_granted(&mut self, id: u64) {
         if let Some((daemon, ticket)) = self.checker.holder(id) {
             self.at(Duration::ZERO, Action::ReleaseClaim(daemon, ticket, id));
         }
@@ -83,7 +83,7 @@
 
     pub(super) fn resend(&mut self, id: u64) {
         let names = self.names();
-        let Some(rng) = &mut self.unsent else { return };
+        let Some(rng) = &mut self.unsent_rng else { return };
         let daemon = names[rng.usize(..names.len())].clone();
         self.claim(&daemon, id);
     }
--- a/crates/borageswitch_control/tests/support/world/hosts.rs
+++ b/crates/borageswitch_control/tests/support/world/hosts.rs
@@ -13,7 +13,7 @@
 
 impl World {
     pub(super) fn report(&mut self, daemon: &DaemonName) {
-        self.again(daemon, Duration::from_millis(50), Action::Report(daemon.clone()));
+        self.repeat(daemon, Duration::from_millis(50), Action::Report(daemon.clone()));
         let now = self.now;
         if self.is_paused(daemon) {
             return;
@@ -26,7 +26,7 @@
 
     pub(super) fn request(&mut self, daemon: &DaemonName) {
         let wait = self.millis(5, 60);
-        self.again(daemon, wait, Action::Request(daemon.clone()));
+        self.repeat(daemon, wait, Action::Request(daemon.clone()));
         let long = self.rng.u8(..10) == 0;
         let time = if long { self.millis(200, 2_000) } else { self.millis(5, 200) };
         let end = self.now + time;
@@ -37,7 +37,12 @@
         self.checker.request_started(daemon, &host, &service);
     }
 
-    pub(super) fn agent(&mut self, daemon: DaemonName, host: HostName, command: AgentCommand) {
+    pub(super) fn agent_command(
+        &mut self,
+        daemon: DaemonName,
+        host: HostName,
+        command: AgentCommand,
+    ) {
         let (now, wall) = (self.now, self.wall());
         let boot = self.millis(500, 1_500);
         let fake = self.hosts.entry(host.clone()).or_default();
--- a/crates/borageswitch_control/tests/support/world/mod.rs
+++ b/crates/borageswitch_control/tests/support/world/mod.rs
@@ -3,11 +3,11 @@
 //! A queue in order of time holds all that is still to happen. The daemons are real reducers; what
 //! they ask for is carried out here and in the modules of the store, the network and the hosts.
 
-mod asks;
-mod chance;
 mod claims;
 mod hosts;
 mod network;
+mod operators;
+mod random_actions;
 mod store_calls;
 
 use std::{
@@ -19,7 +19,7 @@
 use borageswitch_control::{
     ControlConfig, Effect, Event, State,
     config::Guards,
-    event::OperatorCall,
+    event::OperatorCallId,
     store::{CallId, StoreRequest},
 };
 use borageswitch_types::{
@@ -42,7 +42,7 @@
 const FLEET_KEY: &str = "borageswitch/gauteng/fleet";
 const PLANNER_KEY: &str = "borageswitch/gauteng/duty/planner";
 /// Far above what a run needs: a daemon that answers each event with two would fill the memory.
-const MOST_QUEUED: usize = 50_000;
+const MAX_QUEUED: usize = 50_000;
 const WALL_START: u64 = 1_700_000_000_000;
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     Claim,
     Resend(u64),
     ReleaseClaim(DaemonName, ClaimTicket, u64),
-    Disturb,
+    Fault,
     Wake(DaemonName),
     HealStore(DaemonName),
     HealNetwork,
@@ -72,7 +72,7 @@
     pub traffic: FakeTraffic,
     pub paused_until: Time,
     is_cut_from_store: bool,
-    side: u8,
+    partition: u8,
     tickets: BTreeMap<ClaimTicket, u64>,
 }
 
@@ -89,7 +89,7 @@
     pub store: FakeStore,
     pub daemons: BTreeMap<DaemonName, FakeDaemon>,
     pub checker: Checker,
-    pub answers: Vec<(DaemonName, OperatorCall, OperatorAnswer)>,
+    pub responses: Vec<(DaemonName, OperatorCallId, OperatorAnswer)>,
     pub decisions: Vec<(Time, Arc<str>)>,
     pub peer_bytes: BTreeMap<DaemonName, u64>,
     pub peer_messages: u64,
@@ -99,34 +99,34 @@
     links: BTreeSet<(DaemonName, DaemonName)>,
     faults: Faults,
     guards: Guards,
-    last: u64,
-    born: usize,
+    last_sequence: u64,
+    daemons_started: usize,
     entries: u16,
-    waves: u32,
-    pub auto: bool,
+    waves_started: u32,
+    pub random_actions: bool,
     pub lose_next_append: bool,
     /// Only one list of keys in so many is answered.
-    pub answers_one_list_in: u64,
-    lists: u64,
+    pub list_response_interval: u64,
+    list_calls: u64,
     /// Draws which granted requests are not sent and what becomes of their claims; nothing else
     /// draws from it, so that runs without it keep their course.
-    pub unsent: Option<fastrand::Rng>,
-    is_fast: bool,
+    pub unsent_rng: Option<fastrand::Rng>,
+    has_short_timeouts: bool,
 }
 
 impl World {
     /// A region with `entries` daemons that have just started; operators apply the site at once.
     pub fn new(seed: u64, entries: u16, faults: Faults, guards: Guards) -> Self {
-        Self::with_pace(seed, entries, faults, guards, true)
+        Self::with_timing(seed, entries, faults, guards, true)
     }
 
     /// The same with a daemon's usual times, or shorter ones that fit more into a run.
-    pub fn with_pace(
+    pub fn with_timing(
         seed: u64,
         entries: u16,
         faults: Faults,
         guards: Guards,
-        is_fast: bool,
+        has_short_timeouts: bool,
     ) -> Self {
         let mut world = Self {
             now: Time::from_millis(1),
@@ -134,7 +134,7 @@
             store: FakeStore::default(),
             daemons: BTreeMap::new(),
             checker: Checker::default(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             decisions: Vec::new(),
             peer_bytes: BTreeMap::new(),
             peer_messages: 0,
@@ -144,16 +144,16 @@
             links: BTreeSet::new(),
             faults,
             guards,
-            last: 0,
-            born: 0,
+            last_sequence: 0,
+            daemons_started: 0,
             entries,
-            waves: 0,
-            auto: faults.disturbance.is_some(),
+            waves_started: 0,
+            random_actions: faults.fault_interval.is_some(),
             lose_next_append: false,
-            answers_one_list_in: 1,
-            lists: 0,
-            unsent: None,
-            is_fast,
+            list_response_interval: 1,
+            list_calls: 0,
+            unsent_rng: None,
+            has_short_timeouts,
         };
         for _ in 0..entries {
             world.start_daemon();
@@ -162,12 +162,12 @@
         let first = world.names()[0].clone();
         world.at(
             Duration::from_millis(300),
-            Action::Deliver(first, asks::change_event(1, "site", change)),
+            Action::Deliver(first, operators::change_event(1, "site", change)),
         );
-        if world.auto {
+        if world.random_actions {
             world.at(Duration::from_secs(3), Action::Operate);
             world.at(Duration::from_secs(2), Action::Claim);
-            world.at(Duration::from_secs(4), Action::Disturb);
+            world.at(Duration::from_secs(4), Action::Fault);
         }
         world
     }
@@ -181,8 +181,8 @@
     }
 
     fn at(&mut self, after: Duration, action: Action) {
-        self.last += 1;
-        self.queue.insert((self.now + after, self.last), action);
+        self.last_sequence += 1;
+        self.queue.insert((self.now + after, self.last_sequence), action);
     }
 
     fn millis(&mut self, from: u64, to: u64) -> Duration {
@@ -190,27 +190,27 @@
     }
 
     fn chance(&mut self, probability: f64) -> bool {
-        self.is_disturbed() && self.rng.f64() < probability
+        self.faults_enabled() && self.rng.f64() < probability
     }
 
-    fn is_disturbed(&self) -> bool {
+    fn faults_enabled(&self) -> bool {
         self.now < Time::ZERO + self.faults.until
     }
 
     pub fn start_daemon(&mut self) -> DaemonName {
-        let number = self.born;
-        self.born += 1;
+        let number = self.daemons_started;
+        self.daemons_started += 1;
         let daemon = DaemonName::from(format!("entry-{number:02}"));
         let data_centre = DATA_CENTRES[number % 3].into();
         let address = ([127, 0, 0, 1], 30_000 + number as u16).into();
         let member = Member { daemon: daemon.clone(), data_centre, address };
         let seed = self.rng.u64(..);
         let mut cfg = ControlConfig::new(member.clone(), "gauteng".into(), seed);
-        if self.is_fast {
+        if self.has_short_timeouts {
             cfg.store_timeout = Duration::from_millis(500);
             cfg.duty_ttl = Duration::from_secs(3);
-            cfg.heartbeat = Duration::from_millis(300);
-            cfg.silence = Duration::from_millis(2_400);
+            cfg.heartbeat_interval = Duration::from_millis(300);
+            cfg.silence_timeout = Duration::from_millis(2_400);
         }
         cfg.guards = self.guards;
         cfg.seeds = self.daemons.values().map(|daemon| daemon.member.address).collect();
@@ -220,7 +220,7 @@
             traffic: FakeTraffic::default(),
             paused_until: Time::ZERO,
             is_cut_from_store: false,
-            side: 0,
+            partition: 0,
             tickets: BTreeMap::new(),
         };
         self.daemons.insert(daemon.clone(), fake);
@@ -262,17 +262,17 @@
         {
             let ((at, _), action) = entry.remove_entry();
             self.now = at;
-            assert!(self.queue.len() < MOST_QUEUED, "events breed events at {at:?}: {action:?}");
-            self.act(action);
+            assert!(self.queue.len() < MAX_QUEUED, "events breed events at {at:?}: {action:?}");
+            self.run_action(action);
         }
         self.now = end;
     }
 
-    fn act(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         match action {
             Action::Deliver(daemon, event) => self.deliver(&daemon, event),
             Action::Tick(daemon) => {
-                self.again(&daemon, TICK, Action::Tick(daemon.clone()));
+                self.repeat(&daemon, TICK, Action::Tick(daemon.clone()));
                 if !self.is_paused(&daemon) {
                     let wall = self.wall();
                     self.deliver(&daemon, Event::Tick { wall });
@@ -293,23 +293,23 @@
             Action::Execute(daemon, call, request, lost_at) => {
                 self.execute(daemon, call, request, lost_at);
             }
-            Action::Command(daemon, host, command) => self.agent(daemon, host, command),
-            Action::Operate => self.operate(),
-            Action::Claim => self.race_claims(),
+            Action::Command(daemon, host, command) => self.agent_command(daemon, host, command),
+            Action::Operate => self.random_operation(),
+            Action::Claim => self.claim_concurrently(),
             Action::Resend(id) => self.resend(id),
             Action::ReleaseClaim(daemon, ticket, id) => self.release_claim(daemon, ticket, id),
-            Action::Disturb => self.disturb(),
+            Action::Fault => self.random_fault(),
             Action::Wake(_) => {}
             Action::HealStore(daemon) => {
                 if let Some(fake) = self.daemons.get_mut(&daemon) {
                     fake.is_cut_from_store = false;
                 }
             }
-            Action::HealNetwork => self.daemons.values_mut().for_each(|fake| fake.side = 0),
+            Action::HealNetwork => self.daemons.values_mut().for_each(|fake| fake.partition = 0),
         }
     }
 
-    fn again(&mut self, daemon: &DaemonName, after: Duration, action: Action) {
+    fn repeat(&mut self, daemon: &DaemonName, after: Duration, action: Action) {
         if self.daemons.contains_key(daemon) {
             self.at(after, action);
         }
@@ -329,11 +329,11 @@
         }
         let effects = fake.state.handle(now, event);
         for effect in effects {
-            self.carry_out(daemon, effect);
+            self.execute_effect(daemon, effect);
         }
     }
 
-    fn carry_out(&mut self, daemon: &DaemonName, effect: Effect) {
+    fn execute_effect(&mut self, daemon: &DaemonName, effect: Effect) {
         match effect {
             Effect::CallStore { call, request, timeout } => {
                 self.call_store(daemon, call, request, timeout);
@@ -349,7 +349,7 @@
                     self.at(Duration::from_millis(3), connect);
                 }
             }
-            Effect::DropPeer { daemon: other } => {
+            Effect::DisconnectPeer { daemon: other } => {
                 // A peer that lives on dials again by itself.
                 self.links.remove(&network::link(daemon, &other));
                 let event = Event::PeerDown { daemon: daemon.clone() };
@@ -366,14 +366,14 @@
                 let delay = self.millis(1, 20);
                 self.at(delay, Action::Command(daemon.clone(), host, command));
             }
-            Effect::AnswerOperator { call, answer } => {
-                self.answers.push((daemon.clone(), call, answer));
+            Effect::RespondToOperator { call, response } => {
+                self.responses.push((daemon.clone(), call, response));
             }
-            Effect::AnswerClaim { ticket, outcome } => {
+            Effect::ResolveClaim { ticket, outcome } => {
                 let id = self.daemons.get_mut(daemon).and_then(|fake| fake.tickets.remove(&ticket));
                 let id = id.expect("each ticket is answered once");
                 self.checker.claim_answered(id, daemon, ticket, outcome);
-                self.give_back(daemon, ticket, id, outcome);
+                self.release_unsent(daemon, ticket, id, outcome);
             }
             Effect::PublishView(view) => {
                 let delay = self.millis(0, 10);
@@ -385,7 +385,7 @@
                 }
             }
             Effect::PublishFleet(fleet) => self.checker.published(daemon, fleet.revision),
-            Effect::Decide { text } => self.decisions.push((self.now, text)),
+            Effect::RecordDecision { text } => self.decisions.push((self.now, text)),
             Effect::Exit => self.crash(daemon),
             Effect::ReadHostList | Effect::SetReady(_) => {}
         }
--- a/crates/borageswitch_control/tests/support/world/network.rs
+++ b/crates/borageswitch_control/tests/support/world/network.rs
@@ -11,14 +11,14 @@
 impl World {
     pub fn split(&mut self, apart: &[DaemonName], time: Duration) {
         for (daemon, fake) in &mut self.daemons {
-            fake.side = u8::from(apart.contains(daemon));
+            fake.partition = u8::from(apart.contains(daemon));
         }
         self.at(time, Action::HealNetwork);
     }
 
     pub(super) fn connect(&mut self, from: DaemonName, to: DaemonName) {
         let (Some(a), Some(b)) = (self.daemons.get(&from), self.daemons.get(&to)) else { return };
-        if a.side != b.side {
+        if a.partition != b.partition {
             self.at(Duration::from_millis(500), Action::Connect(from, to));
             return;
         }
@@ -35,9 +35,9 @@
         self.peer_messages += 1;
         let sides = (self.daemons.get(from), self.daemons.get(to));
         let (Some(a), Some(b)) = sides else { return };
-        let reaches = a.side == b.side && self.links.contains(&link(from, to));
-        let copies = if self.chance(self.faults.duplicate) { 2 } else { 1 };
-        if !reaches || self.chance(self.faults.loss) {
+        let reaches = a.partition == b.partition && self.links.contains(&link(from, to));
+        let copies = if self.chance(self.faults.message_duplicate) { 2 } else { 1 };
+        if !reaches || self.chance(self.faults.message_loss) {
             return;
         }
         for _ in 0..copies {
--- a/crates/borageswitch_control/tests/support/world/asks.rs
+++ b/crates/borageswitch_control/tests/support/world/operators.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use borageswitch_control::{Event, event::OperatorCall};
+use borageswitch_control::{Event, event::OperatorCallId};
 use borageswitch_types::{
     fleet::{Author, ChangeRequest, FleetChange},
     names::DaemonName,
@@ -12,8 +12,8 @@
 use super::{Action, World};
 
 impl World {
-    pub fn ask(&mut self, daemon: &DaemonName, call: u64, request: OperatorRequest) {
-        let event = Event::Operator { call: OperatorCall(call), request };
+    pub fn operator_request(&mut self, daemon: &DaemonName, call: u64, request: OperatorRequest) {
+        let event = Event::Operator { call: OperatorCallId(call), request };
         self.at(Duration::from_millis(1), Action::Deliver(daemon.clone(), event));
     }
 
@@ -32,5 +32,5 @@
         change,
     };
     let request = OperatorRequest::Change(Box::new(req));
-    Event::Operator { call: OperatorCall(call), request }
+    Event::Operator { call: OperatorCallId(call), request }
 }
--- a/crates/borageswitch_control/tests/support/world/chance.rs
+++ b/crates/borageswitch_control/tests/support/world/random_actions.rs
@@ -16,19 +16,19 @@
         names[self.rng.usize(..names.len())].clone()
     }
 
-    pub(super) fn operate(&mut self) {
+    pub(super) fn random_operation(&mut self) {
         let wait = self.millis(200, 2_000);
-        if self.is_disturbed() {
+        if self.faults_enabled() {
             self.at(wait, Action::Operate);
         }
-        let operation = format!("op-{}", self.last);
+        let operation = format!("op-{}", self.last_sequence);
         let host = host_name(self.rng.usize(..12));
         let change = match self.rng.u8(..8) {
             0..=2 => {
-                self.waves += 1;
+                self.waves_started += 1;
                 let trial = Duration::from_millis(300);
                 let settings = WaveSettings { trial, ..Default::default() };
-                let wave = format!("wave-{}", self.waves).as_str().into();
+                let wave = format!("wave-{}", self.waves_started).as_str().into();
                 FleetChange::StartWave { wave, hosts: vec![host], settings }
             }
             3 => FleetChange::HoldHost { host, reason: "a random operator".into() },
@@ -40,18 +40,18 @@
         // The same operation through two daemons: an operator who tried the next endpoint.
         for _ in 0..self.rng.usize(1..=2) {
             let daemon = self.any_daemon();
-            let call = self.last;
+            let call = self.last_sequence;
             self.change(&daemon, call, &operation, change.clone());
         }
     }
 
-    pub(super) fn disturb(&mut self) {
-        let mean = self.faults.disturbance.unwrap_or_default().as_millis() as u64;
+    pub(super) fn random_fault(&mut self) {
+        let mean = self.faults.fault_interval.unwrap_or_default().as_millis() as u64;
         let wait = self.millis(mean / 4, mean * 2);
-        if !self.is_disturbed() {
+        if !self.faults_enabled() {
             return;
         }
-        self.at(wait, Action::Disturb);
+        self.at(wait, Action::Fault);
         let daemon = self.any_daemon();
         let time = self.millis(200, 12_000);
         match self.rng.u8(..12) {
--- a/crates/borageswitch_control/tests/support/world/store_calls.rs
+++ b/crates/borageswitch_control/tests/support/world/store_calls.rs
@@ -4,7 +4,7 @@
 
 use borageswitch_control::{
     Event,
-    store::{CallId, StoreAnswer, StoreError, StoreRequest},
+    store::{CallId, StoreError, StoreRequest, StoreResponse},
 };
 use borageswitch_types::{Time, names::DaemonName};
 
@@ -52,9 +52,9 @@
             self.watches.push((daemon, call, request, until));
             return;
         }
-        let answer = self.store.execute(self.now, &request);
+        let response = self.store.execute(self.now, &request);
         let is_fleet_write = matches!(&request, StoreRequest::CompareAndSwap { key, .. }
-            if &**key == FLEET_KEY && matches!(answer, StoreAnswer::Written { .. }));
+            if &**key == FLEET_KEY && matches!(response, StoreResponse::Written { .. }));
         if let (true, StoreRequest::CompareAndSwap { value, .. }) = (is_fleet_write, &request) {
             self.checker.committed(value);
             self.wake_watches();
@@ -63,30 +63,30 @@
             if key.contains("/claims/"));
         let planned_loss = is_append && std::mem::take(&mut self.lose_next_append);
         let is_list = matches!(&request, StoreRequest::List { .. });
-        self.lists += u64::from(is_list);
-        let list_lost = is_list && !self.lists.is_multiple_of(self.answers_one_list_in);
+        self.list_calls += u64::from(is_list);
+        let is_list_lost = is_list && !self.list_calls.is_multiple_of(self.list_response_interval);
         let lost = planned_loss
-            || list_lost
-            || self.chance(self.faults.lost_answer)
+            || is_list_lost
+            || self.chance(self.faults.lost_response)
             || self.now >= lost_at;
         let delay = self.millis(1, 4);
         let (wait, outcome) = match lost {
             true => (lost_at.since(self.now), Err(StoreError::AnswerLost)),
-            false => (delay, Ok(answer)),
+            false => (delay, Ok(response)),
         };
         self.at(wait, Action::Deliver(daemon, Event::Store { call, outcome }));
     }
 
     fn wake_watches(&mut self) {
         for (daemon, call, request, until) in std::mem::take(&mut self.watches) {
-            let answer = match until > self.now {
+            let response = match until > self.now {
                 true => self.store.execute(self.now, &request),
-                false => StoreAnswer::Value(None),
+                false => StoreResponse::Value(None),
             };
             // A watch can go silent for good; the daemon's own timeout must end it.
             if !self.chance(0.1) {
                 let delay = self.millis(1, 4);
-                let event = Event::Store { call, outcome: Ok(answer) };
+                let event = Event::Store { call, outcome: Ok(response) };
                 self.at(delay, Action::Deliver(daemon, event));
             }
         }
--- a/crates/borageswitch_control/tests/timing.rs
+++ b/crates/borageswitch_control/tests/timing.rs
@@ -17,7 +17,7 @@
 const CHANGES: u64 = 200;
 
 fn nine_daemons(seed: u64) -> World {
-    let mut world = World::with_pace(seed, 9, Faults::none(), Guards::default(), false);
+    let mut world = World::with_timing(seed, 9, Faults::none(), Guards::default(), false);
     world.run_until(Duration::from_secs(5));
     world
 }
@@ -40,11 +40,11 @@
     world.now.since(began)
 }
 
-fn truth(world: &World) -> Revision {
-    world.checker.truth.as_ref().map(|fleet| fleet.revision).unwrap_or_default()
+fn stored_revision(world: &World) -> Revision {
+    world.checker.stored_fleet.as_ref().map(|fleet| fleet.revision).unwrap_or_default()
 }
 
-fn sends_by(world: &World, revision: Revision) -> bool {
+fn all_apply(world: &World, revision: Revision) -> bool {
     let views = world.daemons.values().map(|daemon| daemon.traffic.view.as_ref());
     views.into_iter().all(|view| view.is_some_and(|view| view.revision >= revision))
 }
@@ -60,14 +60,17 @@
         let daemon = names[number as usize % names.len()].clone();
         let spec = Team { weight: 1, slot_quota: number as u16 + 1 };
         let change = FleetChange::SetTeam { team: "payroll".into(), spec };
-        let before = truth(&world);
+        let before = stored_revision(&world);
 
         world.change(&daemon, 10 + number, &format!("change-{number}"), change);
         let limit = Duration::from_secs(20);
-        let is_sent_by = |world: &World| truth(world) > before && sends_by(world, truth(world));
+        let is_sent_by = |world: &World| {
+            stored_revision(world) > before && all_apply(world, stored_revision(world))
+        };
         in_force.push(time_until(&mut world, limit, is_sent_by));
-        let is_known =
-            |world: &World| world.daemons[&daemon].state.lagging_daemons(truth(world)).is_empty();
+        let is_known = |world: &World| {
+            world.daemons[&daemon].state.lagging_daemons(stored_revision(world)).is_empty()
+        };
         reported.push(in_force[number as usize] + time_until(&mut world, limit, is_known));
         let pause = world.now.since(Time::ZERO) + Duration::from_millis(number % 7 * 130);
         world.run_until(pause);
--- a/crates/borageswitch_control/tests/waits.rs
+++ b/crates/borageswitch_control/tests/waits.rs
@@ -5,7 +5,7 @@
 use borageswitch_control::{
     Effect, Event, State,
     config::ControlConfig,
-    event::{OperatorCall, TrafficReport},
+    event::{OperatorCallId, TrafficReport},
 };
 use borageswitch_types::{Fleet, Time, fleet::Revision, time::UnixMillis};
 use borageswitch_wire::{
@@ -14,7 +14,7 @@
     peer::{Heartbeat, Member, Progress},
 };
 
-const CALL: OperatorCall = OperatorCall(1);
+const CALL: OperatorCallId = OperatorCallId(1);
 
 fn member(name: &str) -> Member {
     let address = SocketAddr::from(([10, 0, 0, 1], 7_700));
@@ -41,14 +41,14 @@
 }
 
 /// Ticks until a time and gives the operator's answer if it comes, with its time.
-fn answer_by(state: &mut State, from: Time, until: Time) -> Option<(Time, OperatorAnswer)> {
+fn response_by(state: &mut State, from: Time, until: Time) -> Option<(Time, OperatorAnswer)> {
     let mut now = from;
     while now < until {
         now += Duration::from_millis(50);
         let effects = state.handle(now, Event::Tick { wall: UnixMillis(now.as_micros() / 1_000) });
         for effect in effects {
-            if let Effect::AnswerOperator { call: CALL, answer } = effect {
-                return Some((now, answer));
+            if let Effect::RespondToOperator { call: CALL, response } = effect {
+                return Some((now, response));
             }
         }
     }
@@ -61,7 +61,7 @@
 #[test]
 fn a_silent_daemon_whose_lease_may_stand_lags() {
     let cfg = ControlConfig::new(member("d2"), "gauteng".into(), 1);
-    let (silence, ttl) = (cfg.silence, cfg.duty_ttl);
+    let (silence, ttl) = (cfg.silence_timeout, cfg.duty_ttl);
     let mut state = State::new(cfg);
     let peer = |message| Event::Peer { from: "d3".into(), message };
     let start = Time::from_millis(1_000);
@@ -76,10 +76,10 @@
     let timeout = Duration::from_secs(60);
     let request = OperatorRequest::WaitInForce { revision: Revision(2), timeout };
     state.handle(start, Event::Operator { call: CALL, request });
-    let (at, answer) = answer_by(&mut state, start, start + timeout).unwrap();
+    let (at, response) = response_by(&mut state, start, start + timeout).unwrap();
 
     assert!(at.since(start) >= ttl, "told after {:?}", at.since(start));
     assert!(at.since(start) <= silence + ttl + Duration::from_secs(1));
     let lagging = Vec::new();
-    assert_eq!(answer, OperatorAnswer::InForce { revision: Revision(2), lagging });
+    assert_eq!(response, OperatorAnswer::InForce { revision: Revision(2), lagging });
 }
--- a/crates/borageswitch_edge/src/operators/calls.rs
+++ b/crates/borageswitch_edge/src/operators/calls.rs
@@ -10,7 +10,7 @@
 };
 
 use async_channel::Sender;
-use borageswitch_control::{Event, event::OperatorCall};
+use borageswitch_control::{Event, event::OperatorCallId};
 use borageswitch_wire::operator::{OperatorAnswer, OperatorRequest};
 
 use crate::platform::before;
@@ -33,7 +33,7 @@
 pub(super) struct Calls {
     events: Sender<Event>,
     next: AtomicU64,
-    waiting: Mutex<BTreeMap<OperatorCall, Sender<OperatorAnswer>>>,
+    waiting: Mutex<BTreeMap<OperatorCallId, Sender<OperatorAnswer>>>,
 }
 
 impl Calls {
@@ -47,7 +47,7 @@
         request: OperatorRequest,
         patience: Duration,
     ) -> Result<OperatorAnswer, NoAnswer> {
-        let call = OperatorCall(self.next.fetch_add(1, Ordering::Relaxed));
+        let call = OperatorCallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = async_channel::bounded(1);
         let _entry = self.enter(call, tx)?;
         let event = Event::Operator { call, request };
@@ -59,7 +59,7 @@
         before(deadline, asked).await.unwrap_or(Err(NoAnswer::Late))
     }
 
-    pub(super) fn answer(&self, call: OperatorCall, answer: OperatorAnswer) {
+    pub(super) fn answer(&self, call: OperatorCallId, answer: OperatorAnswer) {
         let Some(tx) = self.lock().remove(&call) else { return };
         let unread = tx.try_send(answer).is_err();
         if unread {
@@ -69,7 +69,7 @@
 
     fn enter(
         &self,
-        call: OperatorCall,
+        call: OperatorCallId,
         tx: Sender<OperatorAnswer>,
     ) -> Result<WaitingCall<'_>, NoAnswer> {
         let mut waiting = self.lock();
@@ -80,7 +80,7 @@
         Ok(WaitingCall { calls: self, call })
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<OperatorCall, Sender<OperatorAnswer>>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<OperatorCallId, Sender<OperatorAnswer>>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -88,7 +88,7 @@
 /// Forgets a call when its operator goes away: without it each abandoned call would stay for good.
 struct WaitingCall<'a> {
     calls: &'a Calls,
-    call: OperatorCall,
+    call: OperatorCallId,
 }
 
 impl Drop for WaitingCall<'_> {
--- a/crates/borageswitch_edge/src/operators/mod.rs
+++ b/crates/borageswitch_edge/src/operators/mod.rs
@@ -16,7 +16,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use async_channel::Sender;
-use borageswitch_control::{Event, event::OperatorCall};
+use borageswitch_control::{Event, event::OperatorCallId};
 use borageswitch_types::Fleet;
 use borageswitch_wire::operator::{OperatorAnswer, OperatorRequest};
 
@@ -62,7 +62,7 @@
     }
 
     /// Answers a call, if its operator still waits.
-    pub fn answer(&self, call: OperatorCall, answer: OperatorAnswer) {
+    pub fn answer(&self, call: OperatorCallId, answer: OperatorAnswer) {
         self.shared.calls.answer(call, answer);
     }
 
--- a/crates/borageswitch_edge/src/platform/answers.rs
+++ b/crates/borageswitch_edge/src/platform/answers.rs
@@ -4,7 +4,7 @@
 
 use borageswitch_control::{
     event::ListedHost,
-    store::{KeyValue, LeaseId, StoreAnswer, StoreError, StoreRequest, Version},
+    store::{KeyValue, LeaseId, StoreError, StoreRequest, StoreResponse, Version},
 };
 use borageswitch_http::client::Answer;
 use borageswitch_types::agent::{AgentError, AgentStatus};
@@ -37,36 +37,36 @@
 pub(super) fn store_answer(
     request: &StoreRequest,
     answer: &Answer,
-) -> Result<StoreAnswer, StoreError> {
+) -> Result<StoreResponse, StoreError> {
     match answer.status {
         StatusCode::OK => ok_answer(request, answer).ok_or(StoreError::AnswerLost),
         StatusCode::NO_CONTENT | StatusCode::NOT_FOUND if requests::only_reads(request) => {
-            Ok(StoreAnswer::Value(None))
+            Ok(StoreResponse::Value(None))
         }
-        StatusCode::CONFLICT => Ok(StoreAnswer::Conflict),
-        StatusCode::GONE => Ok(StoreAnswer::LeaseLost),
+        StatusCode::CONFLICT => Ok(StoreResponse::Conflict),
+        StatusCode::GONE => Ok(StoreResponse::LeaseLost),
         status if status.is_client_error() => Err(StoreError::Refused),
         _ => Err(StoreError::AnswerLost),
     }
 }
 
-fn ok_answer(request: &StoreRequest, answer: &Answer) -> Option<StoreAnswer> {
+fn ok_answer(request: &StoreRequest, answer: &Answer) -> Option<StoreResponse> {
     match request {
         StoreRequest::Get { key } | StoreRequest::Watch { key, .. } => {
             let value = Arc::from(&answer.body[..]);
             let kv = KeyValue { key: key.clone(), version: version(answer)?, value };
-            Some(StoreAnswer::Value(Some(kv)))
+            Some(StoreResponse::Value(Some(kv)))
         }
-        StoreRequest::List { .. } => Some(StoreAnswer::Values(listed_values(answer)?)),
+        StoreRequest::List { .. } => Some(StoreResponse::Values(listed_values(answer)?)),
         StoreRequest::CompareAndSwap { .. } => {
-            Some(StoreAnswer::Written { version: version(answer)? })
+            Some(StoreResponse::Written { version: version(answer)? })
         }
         StoreRequest::GrantLease { .. } | StoreRequest::KeepAlive { .. } => {
             let granted: GrantedLease = serde_json::from_slice(&answer.body).ok()?;
             let ttl = Duration::from_millis(granted.ttl_ms);
-            Some(StoreAnswer::Lease { lease: LeaseId(granted.lease), ttl })
+            Some(StoreResponse::Lease { lease: LeaseId(granted.lease), ttl })
         }
-        StoreRequest::Delete { .. } | StoreRequest::RevokeLease { .. } => Some(StoreAnswer::Done),
+        StoreRequest::Delete { .. } | StoreRequest::RevokeLease { .. } => Some(StoreResponse::Done),
     }
 }
 
