--- a/crates/borageswitch_edge/src/platform/endpoints.rs
+++ b/crates/borageswitch_edge/src/platform/endpoints.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use borageswitch_control::store::{StoreAnswer, StoreError, StoreRequest};
+use borageswitch_control::store::{StoreError, StoreRequest, StoreResponse};
 use borageswitch_http::client::{Answer, CallError, Client};
 
 use crate::platform::{answers, requests};
@@ -31,7 +31,7 @@
         client: &Client,
         request: &StoreRequest,
         timeout: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         let deadline = Instant::now() + timeout;
         let first = self.preferred.load(Ordering::Relaxed);
         let mut error = StoreError::NotSent;
--- a/crates/borageswitch_edge/src/platform/mod.rs
+++ b/crates/borageswitch_edge/src/platform/mod.rs
@@ -25,7 +25,7 @@
 use borageswitch_control::{
     Event,
     event::ListedHost,
-    store::{CallId, StoreAnswer, StoreError, StoreRequest},
+    store::{CallId, StoreError, StoreRequest, StoreResponse},
 };
 use borageswitch_http::client::Client;
 use borageswitch_types::{
@@ -175,7 +175,7 @@
         &self,
         request: &StoreRequest,
         timeout: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         let kind = requests::kind(request);
         let Some(_permit) = self.budget.take(kind) else {
             self.count(kind.name(), "over-budget");
@@ -183,8 +183,8 @@
         };
         let outcome = self.endpoints.call(&self.client, request, timeout).await;
         let result = match &outcome {
-            Ok(StoreAnswer::Conflict) => "conflict",
-            Ok(StoreAnswer::LeaseLost) => "lease-lost",
+            Ok(StoreResponse::Conflict) => "conflict",
+            Ok(StoreResponse::LeaseLost) => "lease-lost",
             Ok(_) => "ok",
             Err(StoreError::NotSent) => "not-sent",
             Err(StoreError::AnswerLost) => "answer-lost",
--- a/crates/borageswitch_edge/tests/platform.rs
+++ b/crates/borageswitch_edge/tests/platform.rs
@@ -12,7 +12,7 @@
 use async_channel::Receiver;
 use borageswitch_control::{
     Event,
-    store::{CallId, KeyValue, LeaseId, StoreAnswer, StoreError, StoreRequest, Version},
+    store::{CallId, KeyValue, LeaseId, StoreError, StoreRequest, StoreResponse, Version},
 };
 use borageswitch_edge::platform::{Platform, PlatformConfig};
 use borageswitch_fakes::{
@@ -64,7 +64,7 @@
 }
 
 impl Fixture {
-    fn call(&self, request: StoreRequest, timeout: Duration) -> Result<StoreAnswer, StoreError> {
+    fn call(&self, request: StoreRequest, timeout: Duration) -> Result<StoreResponse, StoreError> {
         let call = CallId(fastrand::u64(..));
         self.platform.call_store(call, request, timeout);
         support::next_event(&self.events, |event| match event {
@@ -164,18 +164,18 @@
 
     let absent = f.call(get("a/x"), TIMEOUT);
     let written = f.call(write("a/x", 0, "one"), TIMEOUT);
-    let Ok(StoreAnswer::Written { version }) = written else { panic!("{written:?}") };
+    let Ok(StoreResponse::Written { version }) = written else { panic!("{written:?}") };
     let conflict = f.call(write("a/x", 0, "two"), TIMEOUT);
     let read = f.call(get("a/x"), TIMEOUT);
     let listed = f.call(StoreRequest::List { prefix: "a/".into() }, TIMEOUT);
     let delete = StoreRequest::Delete { key: "a/x".into(), expected: version };
     let deleted = f.call(delete, TIMEOUT);
 
-    assert_eq!(absent, Ok(StoreAnswer::Value(None)));
-    assert_eq!(conflict, Ok(StoreAnswer::Conflict));
-    assert_eq!(read, Ok(StoreAnswer::Value(Some(value("a/x", version.0, "one")))));
-    assert_eq!(listed, Ok(StoreAnswer::Values(vec![value("a/x", version.0, "one")])));
-    assert_eq!(deleted, Ok(StoreAnswer::Done));
+    assert_eq!(absent, Ok(StoreResponse::Value(None)));
+    assert_eq!(conflict, Ok(StoreResponse::Conflict));
+    assert_eq!(read, Ok(StoreResponse::Value(Some(value("a/x", version.0, "one")))));
+    assert_eq!(listed, Ok(StoreResponse::Values(vec![value("a/x", version.0, "one")])));
+    assert_eq!(deleted, Ok(StoreResponse::Done));
     assert_eq!(f.store.value("a/x"), None);
 }
 
@@ -192,8 +192,8 @@
         _ => None,
     });
 
-    assert_eq!(unchanged, Ok(StoreAnswer::Value(None)));
-    assert_eq!(changed, Ok(StoreAnswer::Value(Some(value("x", 2, "two")))));
+    assert_eq!(unchanged, Ok(StoreResponse::Value(None)));
+    assert_eq!(changed, Ok(StoreResponse::Value(Some(value("x", 2, "two")))));
 }
 
 #[test]
@@ -202,16 +202,16 @@
     let ttl = Duration::from_secs(60);
 
     let granted = f.call(StoreRequest::GrantLease { ttl }, TIMEOUT);
-    let Ok(StoreAnswer::Lease { lease, .. }) = granted else { panic!("{granted:?}") };
+    let Ok(StoreResponse::Lease { lease, .. }) = granted else { panic!("{granted:?}") };
     let kept = f.call(StoreRequest::KeepAlive { lease }, TIMEOUT);
     let revoked = f.call(StoreRequest::RevokeLease { lease }, TIMEOUT);
     let lost = f.call(StoreRequest::KeepAlive { lease }, TIMEOUT);
     let write_lost = f.call(write_under("x", 0, "one", Some(lease)), TIMEOUT);
 
-    assert_eq!(kept, Ok(StoreAnswer::Lease { lease, ttl }));
-    assert_eq!(revoked, Ok(StoreAnswer::Done));
-    assert_eq!(lost, Ok(StoreAnswer::LeaseLost));
-    assert_eq!(write_lost, Ok(StoreAnswer::LeaseLost));
+    assert_eq!(kept, Ok(StoreResponse::Lease { lease, ttl }));
+    assert_eq!(revoked, Ok(StoreResponse::Done));
+    assert_eq!(lost, Ok(StoreResponse::LeaseLost));
+    assert_eq!(write_lost, Ok(StoreResponse::LeaseLost));
 }
 
 /// The store carries a write out and the connection breaks before its answer. An operator would see
@@ -245,7 +245,7 @@
 
     let outcome = f.call(write("x", 0, "one"), TIMEOUT);
 
-    assert_eq!(outcome, Ok(StoreAnswer::Written { version: Version(1) }));
+    assert_eq!(outcome, Ok(StoreResponse::Written { version: Version(1) }));
 }
 
 /// One of the store's addresses leads to a proxy that answers 503 for a store it cannot reach. Reads
@@ -262,8 +262,8 @@
     let read = fresh.call(get("x"), TIMEOUT);
 
     assert_eq!(lost, Err(StoreError::AnswerLost));
-    assert_eq!(written, Ok(StoreAnswer::Written { version: Version(1) }));
-    assert_eq!(read, Ok(StoreAnswer::Value(None)));
+    assert_eq!(written, Ok(StoreResponse::Written { version: Version(1) }));
+    assert_eq!(read, Ok(StoreResponse::Value(None)));
 }
 
 /// Something between daemon and store loses track of the open connections. Calls on them get no
@@ -277,7 +277,7 @@
 
     let read = f.call(get("x"), Duration::from_secs(2));
 
-    assert_eq!(read, Ok(StoreAnswer::Value(Some(value("x", 1, "one")))));
+    assert_eq!(read, Ok(StoreResponse::Value(Some(value("x", 1, "one")))));
 }
 
 /// As above, with a write: it may have arrived, so it is not made again, but the next call finds a
@@ -292,7 +292,7 @@
     let written = f.call(write("x", 1, "two"), TIMEOUT);
 
     assert_eq!(lost, Err(StoreError::AnswerLost));
-    assert_eq!(written, Ok(StoreAnswer::Written { version: Version(2) }));
+    assert_eq!(written, Ok(StoreResponse::Written { version: Version(2) }));
 }
 
 /// A watch goes silent. It ends by itself a little after the store should have answered, so the
@@ -316,7 +316,7 @@
 
     let written = f.call(write("x", 1, "two"), TIMEOUT);
 
-    assert_eq!(written, Ok(StoreAnswer::Written { version: Version(2) }));
+    assert_eq!(written, Ok(StoreResponse::Written { version: Version(2) }));
 }
 
 /// The store answers after seconds. A call must not wait longer than the reducer asked, or every
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -29,21 +29,21 @@
             Effect::ConnectPeer { member } => self.peers.connect(member),
             Effect::DialPeer { address } => self.peers.dial(address),
             Effect::AdmitUntil(until) => self.traffic.admit_until(until),
-            Effect::DropPeer { daemon } => self.peers.drop_peer(&daemon),
+            Effect::DisconnectPeer { daemon } => self.peers.drop_peer(&daemon),
             Effect::SendPeer { to, message } => self.peers.send(&to, message),
             Effect::ReadHostList => self.platform.read_host_list(),
             Effect::CommandHost { host, agent, command } => {
                 self.platform.command_host(host, agent, command);
             }
-            Effect::AnswerOperator { call, answer } if LocalCalls::owns(call) => {
-                self.local.answer(call, answer);
+            Effect::RespondToOperator { call, response } if LocalCalls::owns(call) => {
+                self.local.answer(call, response);
             }
-            Effect::AnswerOperator { call, answer } => self.operators.answer(call, answer),
-            Effect::AnswerClaim { ticket, outcome } => self.traffic.answer_claim(ticket, outcome),
+            Effect::RespondToOperator { call, response } => self.operators.answer(call, response),
+            Effect::ResolveClaim { ticket, outcome } => self.traffic.answer_claim(ticket, outcome),
             Effect::PublishView(view) => self.traffic.publish_view(view),
             Effect::PublishFleet(fleet) => self.operators.publish_fleet(fleet),
             Effect::SetReady(ready) => self.observe.set_ready(ready),
-            Effect::Decide { text } => {
+            Effect::RecordDecision { text } => {
                 log::info!("{text}");
                 self.operators.record(text);
             }
--- a/src/daemon/local_calls.rs
+++ b/src/daemon/local_calls.rs
@@ -6,7 +6,7 @@
 };
 
 use async_channel::Sender;
-use borageswitch_control::{Event, event::OperatorCall};
+use borageswitch_control::{Event, event::OperatorCallId};
 use borageswitch_wire::operator::{OperatorAnswer, OperatorRequest};
 
 /// Calls from within the process are numbered from here on, those over the network below.
@@ -41,7 +41,7 @@
             waiting.calls.insert(number, tx);
             number
         };
-        let call = OperatorCall(number);
+        let call = OperatorCallId(number);
         if self.events.send(Event::Operator { call, request }).await.is_err() {
             self.lock().calls.remove(&number);
             return None;
@@ -50,11 +50,11 @@
     }
 
     /// Whether a call came from within the process.
-    pub(super) fn owns(call: OperatorCall) -> bool {
+    pub(super) fn owns(call: OperatorCallId) -> bool {
         call.0 >= FIRST_LOCAL
     }
 
-    pub(super) fn answer(&self, call: OperatorCall, answer: OperatorAnswer) {
+    pub(super) fn answer(&self, call: OperatorCallId, answer: OperatorAnswer) {
         if let Some(tx) = self.lock().calls.remove(&call.0) {
             // Whoever asked may have stopped waiting; then nobody misses the answer.
             let _ = tx.try_send(answer);
