--- a/crates/borageswitch_control/src/config.rs
+++ b/crates/borageswitch_control/src/config.rs
@@ -1,25 +1,26 @@
-//! What one daemon is told of itself.
+//! Configuration of one daemon's control state.
 
 use std::{net::SocketAddr, time::Duration};
 
 use borageswitch_types::names::RegionName;
 use borageswitch_wire::peer::Member;
 
-/// Switches of the guards on which the promises rest.
+/// Switches for the safety checks that the control state's guarantees depend on.
 ///
-/// They exist for the proof alone: a randomised run with one guard off must fail, or the check
-/// that stands behind the guard could not fail at all. A daemon runs with all of them on.
+/// They exist for tests only: a simulation with one guard off must fail, which shows that the
+/// simulation's checks detect the fault. A daemon runs with all of them on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A holder checks its lease before an effect leaves, and its writes carry its fence.
+    /// A duty holder checks its lease before it emits an effect, and its writes carry its fencing
+    /// token.
     pub fencing: bool,
-    /// A host is drained only once every live daemon has confirmed it.
+    /// A host counts as drained only once every live daemon has confirmed it.
     pub acknowledgements: bool,
-    /// A claim whose answer was lost is read back by its nonce.
+    /// A claim whose response was lost is read back and identified by its nonce.
     pub claim_read_back: bool,
-    /// A document is adopted only if its revision is higher.
+    /// A fleet document is adopted only if its revision is higher than the known one.
     pub adopt_only_higher: bool,
-    /// A daemon stops taking work by itself when it has lost the store and the majority.
+    /// A daemon stops taking work when it has lost contact with both the store and the majority.
     pub self_fence: bool,
 }
 
@@ -35,31 +36,31 @@
     }
 }
 
-/// What one daemon is told of itself; made by [`ControlConfig::new`] and changed field by field.
+/// Configuration of one daemon; created by [`ControlConfig::new`], then adjusted field by field.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// This daemon.
+    /// This daemon's own membership record.
     pub me: Member,
-    /// Its region.
+    /// The region that the daemon belongs to.
     pub region: RegionName,
-    /// After this time a call to the store counts as lost.
+    /// Timeout of a call to the store.
     pub store_timeout: Duration,
-    /// How long a daemon's lease lasts without being kept alive; its duties last as long.
+    /// Time to live of the daemon's lease, and so of its duties, unless it is renewed.
     pub duty_ttl: Duration,
-    /// How often a heartbeat goes to each neighbour in the tree.
+    /// How often a heartbeat is sent when nothing has changed.
     pub heartbeat_interval: Duration,
-    /// A daemon that was not heard for this time is silent.
+    /// A daemon without contact for this time counts as silent.
     pub silence_timeout: Duration,
-    /// Where peers may listen, for a start while the store is down.
+    /// Addresses at which peers may listen, for a start while the store is down.
     pub seeds: Vec<SocketAddr>,
-    /// Seeds the jitter of waits and the nonces of claims; must differ between daemons.
+    /// Seeds the jitter of delays and the nonces of claims; must differ between daemons.
     pub seed: u64,
-    /// Off in proofs alone.
+    /// Switched off in tests only.
     pub guards: Guards,
 }
 
 impl ControlConfig {
-    /// The usual settings of a daemon.
+    /// Creates a configuration with the default timeouts.
     pub fn new(me: Member, region: RegionName, seed: u64) -> Self {
         Self {
             me,
--- a/crates/borageswitch_control/src/effect.rs
+++ b/crates/borageswitch_control/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything that a daemon's control state can ask of its edges.
+//! Output effects of a daemon's control state, executed by the I/O layer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,44 +17,44 @@
     store::{CallId, StoreRequest},
 };
 
-/// Everything that can be asked of the edges.
+/// An action that the reducer requests from the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Call the store; [`Event::Store`](crate::Event::Store) follows in any case.
+    /// Call the store; always followed by [`Event::Store`](crate::Event::Store).
     CallStore {
-        /// Names the call in its answer.
+        /// Identifies the call in its response.
         call: CallId,
-        /// The call.
+        /// The request to send.
         request: StoreRequest,
-        /// After this time the call counts as lost.
+        /// Timeout after which the response counts as lost.
         timeout: Duration,
     },
-    /// Keep a connection to a peer, and dial again when it ends.
+    /// Keep a connection to a peer open, reconnecting whenever it closes.
     ConnectPeer {
         /// The peer.
         member: Member,
     },
-    /// Dial an address whose daemon is not known yet, until it answers once;
-    /// [`Event::PeerUp`](crate::Event::PeerUp) then tells who it is.
+    /// Dial an address whose daemon is not known yet until it has connected once;
+    /// [`Event::PeerUp`](crate::Event::PeerUp) then identifies it.
     DialPeer {
         /// Where a peer may listen.
         address: SocketAddr,
     },
-    /// Close the connection to a peer and dial no more.
+    /// Close the connection to a peer and stop reconnecting.
     DisconnectPeer {
         /// The peer.
         daemon: DaemonName,
     },
-    /// Send a message to a peer, as far as a connection stands.
+    /// Send a message to a peer if it is connected.
     SendPeer {
         /// The peer.
         to: DaemonName,
         /// The message.
         message: PeerMessage,
     },
-    /// Read the platform's list; [`Event::HostList`](crate::Event::HostList) follows.
+    /// Read the platform's host list; [`Event::HostList`](crate::Event::HostList) follows.
     ReadHostList,
-    /// Command a host's agent; [`Event::Agent`](crate::Event::Agent) follows.
+    /// Send a command to a host's agent; [`Event::Agent`](crate::Event::Agent) follows.
     CommandHost {
         /// The host.
         host: HostName,
@@ -63,34 +63,34 @@
         /// The command.
         command: AgentCommand,
     },
-    /// Answer an operator.
+    /// Respond to an operator's request.
     RespondToOperator {
-        /// Which request.
+        /// The request.
         call: OperatorCallId,
-        /// The answer.
+        /// The response.
         response: OperatorAnswer,
     },
-    /// Tell a traffic thread what came of its claim.
+    /// Report the outcome of a claim to the traffic thread that requested it.
     ResolveClaim {
-        /// Which claim.
+        /// The claim.
         ticket: ClaimTicket,
-        /// What came of it.
+        /// Its outcome.
         outcome: ClaimOutcome,
     },
-    /// Hand the traffic threads a new view.
+    /// Publish a new view to the traffic threads.
     PublishView(Arc<TrafficView>),
-    /// Let the traffic threads take new requests until the given time on the monotonic clock, and
-    /// not after it: the daemon's permission to serve ends by itself when the process was paused.
+    /// Admit new requests until the given time on the monotonic clock; the permission expires on
+    /// its own if the process was paused.
     AdmitUntil(Time),
-    /// Hand the operators' edge the document that it shows.
+    /// Publish the fleet document to the operators' interface.
     PublishFleet(Arc<Fleet>),
-    /// Tell the balancer whether to send new connections.
+    /// Set whether the readiness probe accepts new connections from the load balancer.
     SetReady(bool),
-    /// Keep a decision for the log and for whoever asks later.
+    /// Record a decision in the log and for later queries.
     RecordDecision {
-        /// What was decided and why, in one sentence.
+        /// The decision and its reason, in one sentence.
         text: Arc<str>,
     },
-    /// Let the process end: nothing is in flight and the duties are given back.
+    /// Exit the process: nothing is in flight and the duties are released.
     Exit,
 }
--- a/crates/borageswitch_control/src/event.rs
+++ b/crates/borageswitch_control/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a daemon's control state.
+//! Input events of a daemon's control state.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,7 +13,7 @@
 
 use crate::store::{CallId, StoreError, StoreResponse};
 
-/// Numbers the requests of operators at one daemon.
+/// Identifies an operator's request at one daemon.
 #[derive(
     Clone,
     Copy,
@@ -29,51 +29,51 @@
 )]
 pub struct OperatorCallId(pub u64);
 
-/// A host as the platform's list shows it, which lags.
+/// A host as shown by the platform's host list, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ListedHost {
     /// The host.
     pub host: HostName,
-    /// Whether the platform says that the host is about to leave.
+    /// Whether the platform has announced that it will take the host away.
     pub leaving: bool,
 }
 
-/// What the traffic threads report.
+/// A report from the traffic threads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrafficReport {
-    /// The revision of the view by which every traffic thread sends.
+    /// The revision of the view that every traffic thread has applied.
     pub applied: Revision,
-    /// Requests in flight on each host that takes no new work by that view.
+    /// Requests in flight on each host that gets no new work under that view.
     pub draining: BTreeMap<HostName, u32>,
-    /// Share of failed requests of each host that had any, in thousandths, as last measured.
+    /// Share of failed requests, in thousandths, of each host with any, as last measured.
     pub failing: BTreeMap<HostName, u16>,
-    /// Requests in flight or waiting in all.
+    /// Total number of requests in flight or waiting.
     pub unfinished: u64,
 }
 
-/// Everything that can happen.
+/// An input to the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The process has started and its listeners are bound.
     Started,
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick {
-        /// The wall clock, for times that a host must judge.
+        /// The wall clock, for timestamps that are sent to hosts.
         wall: UnixMillis,
     },
     /// A call to the store has ended.
     Store {
-        /// Which call.
+        /// The call that ended.
         call: CallId,
-        /// What came of it.
+        /// Its result.
         outcome: Result<StoreResponse, StoreError>,
     },
-    /// A peer has proved that it belongs to the site.
+    /// A peer has connected and authenticated as a member of the site.
     PeerUp {
         /// The peer.
         member: Member,
     },
-    /// The connection to a peer has ended or gone silent.
+    /// The connection to a peer has closed or timed out.
     PeerDown {
         /// The peer.
         daemon: DaemonName,
@@ -85,34 +85,35 @@
         /// The message.
         message: PeerMessage,
     },
-    /// The platform's list was read.
+    /// The platform's host list was read.
     HostList {
-        /// The hosts, or nothing when the list could not be read.
+        /// The hosts, or `None` if the list could not be read.
         hosts: Option<Vec<ListedHost>>,
     },
-    /// A host's agent has answered, or not.
+    /// A command to a host's agent has completed or failed.
     Agent {
         /// The host.
         host: HostName,
-        /// The answer.
+        /// The agent's status, or why there is none.
         outcome: Result<AgentStatus, AgentError>,
     },
-    /// An operator asks for something.
+    /// An operator has sent a request.
     Operator {
-        /// Which request, for the answer.
+        /// Identifies the request in its response.
         call: OperatorCallId,
         /// The request.
         request: OperatorRequest,
     },
-    /// The traffic threads report.
+    /// The traffic threads have reported their progress.
     Traffic(TrafficReport),
-    /// A traffic thread asks for the claim of a non-idempotent request.
+    /// A traffic thread requests the claim for a non-idempotent request.
     Claim(ClaimRequest),
-    /// A traffic thread was granted this claim, has sent nothing under it and never will.
+    /// A traffic thread gives up a granted claim under which it has sent nothing and will send
+    /// nothing.
     ReleaseClaim(ClaimTicket),
-    /// The process is asked to end.
+    /// The process was asked to stop.
     Stop {
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: Arc<str>,
     },
 }
--- a/crates/borageswitch_control/src/lib.rs
+++ b/crates/borageswitch_control/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control state of one daemon: one [`State`], one closed list of [`Event`]s, one
-//! [`reducer`](State::handle) that turns them into [`Effect`]s.
+//! The control state of one daemon: a [`State`] whose [reducer](State::handle) turns [`Event`]s
+//! into [`Effect`]s.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number of its own: time and seed arrive
-//! from outside, so the daemon, the golden sessions and the randomised runs execute the same code.
-//! The edges carry effects out and bring back what came of them as further events.
+//! The crate does no I/O, reads no clock and seeds no random number generator: time and seed are
+//! passed in, so the daemon, the golden sessions and the randomised simulations execute the same
+//! code. The I/O layer executes the effects and reports their results as further events.
 
 pub mod config;
 pub mod effect;
--- a/crates/borageswitch_control/src/reducer/admission.rs
+++ b/crates/borageswitch_control/src/reducer/admission.rs
@@ -1,22 +1,23 @@
-//! Until when this daemon may take new work by itself.
+//! Computes until when this daemon may take new work.
 //!
-//! A daemon that is cut off does not hear that a host leaves. It serves while one of two things
-//! holds: its lease in the store is valid and it has read the document since; or it hears a
-//! majority of the expected daemons, none of which knows a higher revision. In the second case
-//! every planner that acts has had the confirmation of a majority too, and waits as long as this
-//! daemon may go on without hearing; two majorities share a daemon, which carries the news.
+//! A partitioned daemon does not learn that a host is leaving. It may serve in two cases: its lease
+//! in the store is valid and it has read the document since registering; or it has recent contact
+//! with a majority of the expected daemons, none of which knows a higher revision. The second case
+//! is safe because a planner acts only with the confirmation of a majority, and waits as long as
+//! this daemon may continue without contact; two majorities share a daemon, which passes the change
+//! on.
 //!
-//! The permission is a time on the monotonic clock and not a flag: when the whole process was
-//! paused, the traffic threads wake up with a permission that has ended.
+//! The permission is a time on the monotonic clock, not a flag, so that it has expired when the
+//! traffic threads resume after a pause of the whole process.
 //!
-//! A daemon that is asked to stop lets nothing new in, but keeps its permission while it lasts:
-//! requests that wait already still start.
+//! A stopping daemon admits no new requests, but keeps its permission until it expires, so that
+//! requests already queued still start.
 
 use borageswitch_types::{Time, fleet::Revision};
 
 use crate::{effect::Effect, reducer::State};
 
-/// The permission as it was last given to the traffic threads.
+/// The permission last sent to the traffic threads.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     until: Time,
@@ -67,7 +68,7 @@
         by_lease.max(self.majority_until(fleet.entries_expected, fleet.revision))
     }
 
-    /// When fewer than a majority will have been heard within the time of silence.
+    /// The time at which recent contact with a majority is lost, unless there is further contact.
     fn majority_until(&self, expected: u16, revision: Revision) -> Time {
         let others_needed = usize::from(expected / 2);
         if others_needed == 0 {
--- a/crates/borageswitch_control/src/reducer/claims/chain.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain.rs
@@ -1,16 +1,17 @@
-//! The claims of one shard: a chain of small values in the store, appended by compare-and-swap.
+//! The claims of one shard: a chain of small values in the store, appended to by compare-and-swap.
 //!
-//! Any daemon may append to any chain. Safety rests on the store alone: a claim is granted only
-//! when the compare-and-swap that adds it to the open segment took effect, made by a writer that
-//! has read every claim before it. Two daemons that both believe to be the shard's owner collide
-//! in the compare-and-swap, and the loser reads what the other has written.
+//! Any daemon may append to any chain. Safety depends on the store alone: a claim is granted only
+//! when the compare-and-swap that adds it to the open segment has taken effect, made by a writer
+//! that has read all earlier claims. If two daemons both consider themselves the shard's owner,
+//! their compare-and-swaps conflict, and the loser reads what the other has written.
 //!
 //! A full segment is sealed by the write that fills it, and the next one is created only by a
-//! writer that has seen the seal, so the chain has one end. An open segment is never deleted.
+//! writer that has read the sealed one, so the chain has a single open end. An open segment is
+//! never deleted.
 //!
-//! A claim under which nothing was sent can be given back by a further line. A nonce that was
-//! given back is never granted again: an ask of it that arrives late would otherwise bring back a
-//! claim that nobody releases.
+//! A claim under which nothing was sent can be released by a further line. A released nonce is
+//! never granted again: otherwise a delayed request with that nonce would restore a claim that is
+//! never released.
 
 mod reading;
 
@@ -39,33 +40,34 @@
 
 /// A segment is sealed at this length, 20 KB of text, so that an append stays a small write.
 const SEGMENT_CLAIMS: usize = 256;
-/// Writes of one shard keep this distance. Eight shards make at most 100 writes a second at any
+/// Minimum time between writes of one shard. Eight shards make at most 100 writes a second at any
 /// rate of requests; a claim waits 40 ms longer on average while its shard is busy.
 const WRITE_INTERVAL: Duration = Duration::from_millis(80);
-/// The most claims in one write.
+/// Maximum number of claims in one write.
 const MAX_BATCH_CLAIMS: usize = 64;
-/// The most releases in one write, so that claims have room in each.
+/// Maximum number of releases in one write, which leaves capacity for claims.
 const MAX_BATCH_RELEASES: usize = MAX_BATCH_CLAIMS / 2;
-/// The most claims that wait for one shard, and the most releases; more are refused at once.
+/// Maximum number of waiting claims, and of waiting releases, of one shard. Further claims are
+/// rejected at once.
 const MAX_WAITING: usize = 4_096;
-/// Wall clocks of daemons differ by less than this.
+/// Upper bound on the difference between daemons' wall clocks.
 const CLOCK_SKEW: Duration = Duration::from_secs(60);
-/// That a segment does not exist is believed for this time. It is far shorter than any window: a
-/// writer that was paused for longer could otherwise create a segment that was created, sealed
-/// and deleted in the meantime, and grant a claim that nobody would ever read.
+/// How long a read that found no segment stays valid. It is far shorter than any window: otherwise
+/// a writer that was paused for longer could create a segment that was created, sealed and deleted
+/// in the meantime, and grant a claim that no other daemon would ever read.
 const ABSENCE_TTL: Duration = Duration::from_secs(20);
 const RETRY_BASE: Duration = Duration::from_millis(60);
 
-/// A call on behalf of a chain.
+/// A store call of a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum Step {
-    /// Read the whole chain.
+    /// Reads the whole chain.
     Load,
-    /// Read the segment that is believed to be the last.
+    /// Reads the segment that is assumed to be the last.
     ReadHead,
-    /// Append claims to the last segment, or create it.
+    /// Appends claims to the last segment, or creates it.
     Append,
-    /// Delete a segment whose claims may be forgotten.
+    /// Deletes a segment whose claims have all expired.
     DeleteSegment(u64),
 }
 
@@ -84,7 +86,7 @@
     claims: Vec<Claim>,
 }
 
-/// What this daemon knows of one shard's chain.
+/// This daemon's view of one shard's chain.
 #[derive(Debug)]
 pub(super) struct Chain {
     prefix: Arc<str>,
@@ -97,7 +99,7 @@
     head_version: Version,
     head_segment: Segment,
     absent_at: Time,
-    /// When the call was made that last showed the end of the chain.
+    /// Send time of the last call that showed the end of the chain.
     end_seen_at: Time,
     waiting: VecDeque<ChainRequest>,
     /// Releases not yet seen in the chain.
@@ -112,7 +114,7 @@
 }
 
 impl Chain {
-    /// A chain of which nothing is known yet; its keys begin with `prefix`.
+    /// Creates a chain that is not loaded yet and whose keys begin with `prefix`.
     pub(super) fn new(prefix: Arc<str>, reads_back: bool) -> Self {
         Self {
             prefix,
@@ -147,7 +149,7 @@
         self.waiting.push_back(req);
     }
 
-    /// Takes a release of a claim that was granted and under which nothing can be sent any more.
+    /// Queues the release of a granted claim under which nothing can be sent any more.
     pub(super) fn release(&mut self, now: Time, release: Release) {
         self.last_used = now;
         if self.releases.len() < MAX_WAITING {
@@ -171,7 +173,8 @@
         std::mem::take(&mut self.resolutions)
     }
 
-    /// The call to make now, if any; [`Self::answered`] follows before the next one.
+    /// The store call to make now, if any. [`Self::on_response`] must be called before the next
+    /// one.
     pub(super) fn next_call(
         &mut self,
         now: Time,
@@ -196,7 +199,7 @@
 
     fn read_call(&mut self, now: Time) -> (Step, StoreRequest) {
         if self.stage == Stage::Ready {
-            // Callers that repeat what was claimed cause reads no faster than others cause writes.
+            // Limits the reads caused by callers that repeat claimed ids to the rate of writes.
             self.next_write = now + WRITE_INTERVAL;
         }
         (Step::ReadHead, StoreRequest::Get { key: self.key(self.head) })
@@ -206,7 +209,8 @@
         !self.waiting.is_empty() || !self.releases.is_empty()
     }
 
-    /// Whether a write would add anything. Asks whose key is claimed wait for a look at the chain.
+    /// Whether a write would add anything. Requests whose key is claimed wait for a read of the
+    /// chain.
     fn can_append(&self) -> bool {
         !self.releases.is_empty()
             || self.waiting.iter().any(|req| !self.claimed.contains_key(&req.key))
@@ -220,17 +224,17 @@
         self.head_version != Version::ABSENT || now.since(self.absent_at) < ABSENCE_TTL
     }
 
-    /// Ends the asks that are late, and those whose key is claimed. A claim that was known before the
-    /// ask came may have been given back through another daemon, so the end of the chain must have
-    /// been seen since; and one that is just being given back is waited for.
-    /// Ends the releases that are late or seen in the chain.
+    /// Resolves the requests that are late, and those whose key is claimed. A claim that was known
+    /// before the request arrived may have been released through another daemon, so the end of the
+    /// chain must have been read since; and a request waits for a release of its key that is in
+    /// progress. Removes the releases that are late or already in the chain.
     fn resolve_known(&mut self, now: Time) {
         let released = &self.released;
         self.releases.retain(|nonce, release| release.deadline > now && !released.contains(nonce));
         for req in std::mem::take(&mut self.waiting) {
             let known = self.claimed.get(&req.key).map(|claim| claim.nonce);
             match known {
-                // However late: whoever asked gives back what comes too late for it.
+                // Granted even if late: the requester releases a grant that arrives too late.
                 Some(nonce) if nonce == req.nonce => self.resolve(req, ClaimOutcome::Granted),
                 _ if req.deadline <= now || self.released.contains(&req.nonce) => {
                     self.resolve(req, ClaimOutcome::Unavailable);
@@ -261,7 +265,7 @@
         let capacity = MAX_BATCH_CLAIMS - self.releases.len().min(MAX_BATCH_RELEASES);
         for req in std::mem::take(&mut self.waiting) {
             let taken = self.batch.iter().any(|other| other.key == req.key);
-            // A key that is known to be claimed waits for its release to be in the chain.
+            // A request for a claimed key waits until the release is in the chain.
             let claimed = self.claimed.contains_key(&req.key);
             if taken || claimed || self.batch.len() >= capacity {
                 self.waiting.push_back(req);
@@ -289,7 +293,7 @@
         is_past.then_some((Step::DeleteSegment(*number), request))
     }
 
-    /// Takes the answer to the call that is open.
+    /// Handles the response to the open call.
     pub(super) fn on_response(
         &mut self,
         step: Step,
@@ -309,7 +313,7 @@
                 self.appended(sent_at, version);
             }
             (Step::Append, Err(StoreError::AnswerLost)) if !self.reads_back => {
-                // Without the read-back a lost answer would pass for success.
+                // The guard is off: treats a lost response as success.
                 for req in std::mem::take(&mut self.batch) {
                     self.resolve(req, ClaimOutcome::Granted);
                 }
@@ -336,17 +340,17 @@
         let sealed = written.sealed;
         self.take_segment(self.head, version, written);
         if sealed {
-            // Nobody could create the next segment before this write sealed the last one.
+            // No daemon could create the next segment before this write sealed the last one.
             self.absent_at = sent_at;
         }
         for req in std::mem::take(&mut self.batch) {
-            // However late: whoever asked gives back what comes too late for it.
+            // Granted even if late: the requester releases a grant that arrives too late.
             self.resolve(req, ClaimOutcome::Granted);
         }
     }
 
-    /// The write may or may not have taken effect: the asks wait again, and the segment is read
-    /// first unless it is sure that nothing was sent. Their nonces tell whose claims it holds.
+    /// Requeues the batch of a write that may or may not have taken effect. The segment is read
+    /// first unless the write certainly had no effect; the nonces show whose claims it contains.
     fn append_failed(&mut self, outcome: &Result<StoreResponse, StoreError>) {
         for req in std::mem::take(&mut self.batch).into_iter().rev() {
             self.waiting.push_front(req);
--- a/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
@@ -1,4 +1,4 @@
-//! What the store's answers tell of a chain: its claims, its releases and its open end.
+//! Updates a chain from the store's responses: its claims, releases and open end.
 
 use borageswitch_types::Time;
 
@@ -9,7 +9,7 @@
 };
 
 impl Chain {
-    /// Takes the whole chain, and tells whether the list showed a whole one.
+    /// Loads the whole chain from a list; returns whether the list was complete and readable.
     pub(super) fn load(&mut self, sent_at: Time, values: &[KeyValue]) -> bool {
         self.claimed.clear();
         self.released.clear();
@@ -26,7 +26,7 @@
                 return false;
             };
             if !segment.sealed && index != last {
-                // The list was read while the chain grew; it is read again.
+                // The chain grew while the list was read, so it is read again.
                 return false;
             }
             self.take_segment(number, kv.version, segment);
@@ -39,8 +39,8 @@
         true
     }
 
-    /// Takes a segment, of which the lines that are known already count once: a claim that was
-    /// released and followed by another one of its key would seem to be claimed twice otherwise.
+    /// Applies a segment, skipping the lines that are already known: otherwise a key that was
+    /// claimed, released and claimed again would seem to be claimed twice.
     pub(super) fn take_segment(&mut self, number: u64, version: Version, segment: Segment) {
         let known = if number == self.head { self.head_segment.claims.len() } else { 0 };
         for claim in &segment.claims[known..] {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Goes on to the segment after one that was seen sealed.
+    /// Moves the head to the segment after a sealed one.
     fn advance_head(&mut self) {
         let segment = std::mem::take(&mut self.head_segment);
         let newest_until = segment.newest_until();
@@ -69,9 +69,9 @@
 
     /// # Panics
     ///
-    /// When the chain holds two claims of one key, and the first was neither released before the
-    /// second was made nor had its window passed by then: a request could have run twice.
-    /// When a nonce is claimed after its release.
+    /// If the chain contains two claims of one key and the first was neither released nor expired
+    /// when the second was made, since a request could have run twice; or if a nonce is claimed
+    /// after its release.
     fn add_claim(&mut self, claim: Claim) {
         let before = self.claimed.insert(claim.key, claim);
         let is_released = self.released.contains(&claim.nonce);
@@ -80,8 +80,8 @@
         assert!(before.is_none_or(is_allowed), "the key {} is claimed twice", claim.key);
     }
 
-    /// A release of a nonce whose claim is not in the chain changes nothing but that this nonce
-    /// is never granted.
+    /// Applies a release. If the nonce's claim is not in the chain, the release only prevents that
+    /// nonce from being granted.
     fn add_release(&mut self, release: Claim) {
         self.released.insert(release.nonce);
         self.releases.remove(&release.nonce);
--- a/crates/borageswitch_control/src/reducer/claims/mod.rs
+++ b/crates/borageswitch_control/src/reducer/claims/mod.rs
@@ -1,14 +1,15 @@
-//! Claims: a non-idempotent request is sent only after its id was claimed in the store, once.
+//! Claims: a non-idempotent request is sent only after its id has been claimed in the store.
 //!
-//! Keys are hashed into shards. Claims of one shard are gathered by one daemon, which rendezvous
-//! hashing over the live members names, and written together; so the rate of writes follows the
-//! number of shards and not the rate of requests. Who gathers is a hint alone: see [`chain`] for
-//! what safety rests on, and [`segment`] for what the store keeps.
+//! Keys are hashed into shards. The claims of one shard are collected by its owner, a daemon chosen
+//! by rendezvous hashing over the live members, and written in batches, so the rate of writes
+//! depends on the number of shards and not on the rate of requests. Ownership is only a hint and
+//! not needed for safety: see [`chain`] for what guarantees it, and [`segment`] for the stored
+//! format.
 //!
-//! A claim under which nothing was sent is given back, or the caller, told that its request did not
-//! run, could not send it again under its id. Only the daemon that was granted the claim gives it
-//! back, once, and only when it can no longer send: when its traffic threads say so, or when the
-//! grant came too late for them and they were told that there is none.
+//! A claim under which nothing was sent is released; otherwise the caller, notified that its
+//! request did not run, could not send it again under its id. Only the daemon that was granted the
+//! claim releases it, once, and only when it can no longer send: when its traffic threads report
+//! so, or when the grant arrived after they were notified that there is none.
 
 mod chain;
 mod requests;
@@ -47,29 +48,30 @@
 
 pub(super) use self::chain::Step;
 
-/// How many chains there are. More would spread the load finer and cost more writes.
+/// Number of shards, with one chain each. More would spread the load more evenly and cost more
+/// writes.
 const SHARDS: u8 = 8;
-/// An entry that has no answer from the shard's owner in this time writes the claim itself.
+/// An entry without a response from the shard's owner after this time writes the claim itself.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
-/// A chain that was not used for this time is forgotten by everyone but its owner.
+/// Daemons other than the owner drop a chain that they have not used for this time.
 const CHAIN_IDLE: Duration = Duration::from_secs(60);
-/// The most claims that one entry waits for, and the most grants that it remembers in order to
-/// give them back: 22 a second for 600 s are 13,200. What is forgotten can not be given back.
+/// Maximum number of claims that one entry waits for, and of grants that it remembers for release:
+/// 22 a second for 600 s are 13,200. A grant that is no longer remembered cannot be released.
 const MAX_PENDING: usize = 16_384;
-/// For how long after its deadline a claim that is granted after all is given back.
+/// How long after its deadline a claim that is granted late is still released.
 const LATE_GRANT_WINDOW: Duration = Duration::from_secs(10);
-/// For how long the shard's writer tries to write a release.
+/// How long the shard's owner tries to write a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A claim that a traffic thread of this daemon waits for.
+/// A claim requested by a traffic thread of this daemon.
 #[derive(Debug)]
 struct Pending {
-    /// Whom to answer; nothing once it was told that there is no claim.
+    /// The ticket to resolve; `None` once it was reported as unavailable.
     ticket: Option<ClaimTicket>,
     key: ClaimKey,
     window: Duration,
     deadline: Time,
-    /// When the claim is written here, should the shard's owner not answer.
+    /// When this daemon writes the claim itself if the shard's owner has not responded.
     fallback_at: Option<Time>,
 }
 
@@ -82,7 +84,7 @@
     until: Time,
 }
 
-/// The claims in hand.
+/// The pending and granted claims, and the chains in use.
 #[derive(Debug, Default)]
 pub(super) struct Claims {
     pending: BTreeMap<ClaimNonce, Pending>,
@@ -91,7 +93,7 @@
 }
 
 impl Claims {
-    /// For each shard in use: how many claims are known and how many wait.
+    /// For each shard in use, the number of known claims and of waiting requests.
     pub(super) fn summary(&self) -> BTreeMap<u8, (usize, usize)> {
         let chains = self.chains.iter();
         chains.map(|(shard, chain)| (*shard, (chain.claims(), chain.waiting()))).collect()
@@ -148,12 +150,12 @@
     fn claim_window(&self, claim: &ClaimRequest) -> Duration {
         let service = self.sync.fleet().and_then(|fleet| fleet.services.get(&claim.service));
         service.map_or(Duration::from_secs(600), |service| {
-            // A claim must outlast the request itself, whatever the operators declared.
+            // A claim must last at least as long as the request, whatever the operators configured.
             service.limits.claim_window.max(service.limits.max_deadline)
         })
     }
 
-    /// The daemon that gathers the claims of a shard, as far as this one knows.
+    /// The owner of a shard, which collects its claims, as known to this daemon.
     fn shard_owner(&self, shard: u8) -> DaemonName {
         let owner = self.entries.iter().max_by_key(|daemon| (score(shard, daemon), *daemon));
         owner.unwrap_or(self.me()).clone()
@@ -246,7 +248,8 @@
         }
     }
 
-    /// Each ticket is answered once: whoever comes second finds it gone.
+    /// Handles the outcome of a claim. Each ticket is resolved once: a second outcome finds it
+    /// taken.
     pub(super) fn claim_resolved(&mut self, nonce: ClaimNonce, outcome: ClaimOutcome) {
         let now = self.now;
         let Some(pending) = self.claims.pending.get_mut(&nonce) else { return };
@@ -265,15 +268,16 @@
                 let until = now + window;
                 self.claims.granted.insert(ticket, Granted { key, nonce, window, until });
             }
-            // Nobody was told of this claim, so nothing can be sent under it.
+            // The grant was not reported to any traffic thread, so nothing can be sent under it.
             (ClaimOutcome::Granted, None) => self.release_to_owner(key, nonce, window),
             _ => {}
         }
     }
 
-    /// A traffic thread was granted a claim, has sent nothing under it and never will.
+    /// Releases a granted claim under which a traffic thread has sent nothing and will send
+    /// nothing.
     pub(super) fn release_claim(&mut self, ticket: ClaimTicket) {
-        // A ticket that was never granted, or is given back already, is not among them.
+        // A ticket that was never granted or is already released is not in the map.
         let Some(granted) = self.claims.granted.remove(&ticket) else { return };
         self.release_to_owner(granted.key, granted.nonce, granted.window);
     }
@@ -297,7 +301,7 @@
         }
     }
 
-    /// Forgets the oldest grants, which are no longer given back: their claims stand.
+    /// Drops the oldest grants, whose claims can no longer be released.
     fn expire_grants(&mut self) {
         let now = self.now;
         let granted = &mut self.claims.granted;
--- a/crates/borageswitch_control/src/reducer/claims/requests.rs
+++ b/crates/borageswitch_control/src/reducer/claims/requests.rs
@@ -1,4 +1,4 @@
-//! What is asked of a chain, and what came of it.
+//! Requests to a chain and their results.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
     names::DaemonName,
 };
 
-/// Who asked for a claim.
+/// Where a claim request came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Requester {
     Local,
     Peer(DaemonName),
 }
 
-/// A claim that waits for the store.
+/// A claim that waits to be written to the store.
 #[derive(Clone, Debug)]
 pub(super) struct ChainRequest {
     pub(super) key: ClaimKey,
     pub(super) nonce: ClaimNonce,
     pub(super) window: Duration,
-    /// When it was asked for here.
+    /// When this daemon received the request.
     pub(super) received_at: Time,
     pub(super) deadline: Time,
     pub(super) requester: Requester,
 }
 
-/// A claim that is to be given back. Should it not reach the store in time, the claim stands.
+/// A request to release a claim. If it is not written by its deadline, the claim remains.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Release {
     pub(super) key: ClaimKey,
@@ -36,7 +36,7 @@
     pub(super) deadline: Time,
 }
 
-/// What came of an ask.
+/// The result of a claim request.
 #[derive(Clone, Debug)]
 pub(super) struct ClaimResolution {
     pub(super) nonce: ClaimNonce,
--- a/crates/borageswitch_control/src/reducer/claims/segment.rs
+++ b/crates/borageswitch_control/src/reducer/claims/segment.rs
@@ -1,9 +1,9 @@
-//! One value of a shard's chain, as text in the store.
+//! The text format of a segment, one stored value of a shard's chain.
 //!
-//! The first line says whether the segment is open or sealed; each further line is a claim: key,
-//! nonce, when it was made, and end of the window. A claim that is given back stays where it is; a
-//! later line with the same nonce and the word `released` takes it back. A sealed segment never
-//! changes again; claims go on in the next.
+//! The first line states whether the segment is open or sealed. Each further line is a claim: key,
+//! nonce, time of the claim and end of its window. A released claim stays in place and is cancelled
+//! by a later line with the same nonce and the word `released`. A sealed segment never changes;
+//! further claims go into the next segment.
 
 use borageswitch_types::{
     claim::{ClaimKey, ClaimNonce},
@@ -14,28 +14,28 @@
 const SEALED: &str = "sealed";
 const RELEASED: &str = "released";
 
-/// What a line says of a claim.
+/// The kind of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// The claim was made.
     Made,
-    /// The claim was given back: nothing was sent under it, and nothing will be.
+    /// The claim was released: nothing was sent under it, and nothing will be.
     Released,
 }
 
-/// A claim, or its release, as the store keeps it.
+/// A claim, or its release, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Claim {
     pub(super) key: ClaimKey,
     pub(super) nonce: ClaimNonce,
     /// When the claim was made, by the writer's wall clock.
     pub(super) made: UnixMillis,
-    /// When the claim may be forgotten, by the same clock.
+    /// When the claim expires, by the same clock.
     pub(super) until: UnixMillis,
     pub(super) kind: Kind,
 }
 
-/// One value of a shard's chain.
+/// One stored value of a shard's chain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Segment {
     pub(super) claims: Vec<Claim>,
@@ -55,7 +55,7 @@
         text
     }
 
-    /// Reads a segment, or gives nothing if the bytes are no segment.
+    /// Parses a segment; `None` if the bytes are not a valid one.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Segment> {
         let mut lines = std::str::from_utf8(bytes).ok()?.lines();
         let sealed = match lines.next()? {
@@ -67,12 +67,13 @@
         Some(Segment { claims, sealed })
     }
 
-    /// Whether this is `before` with nothing or more lines after it, as all later values must be.
+    /// Whether this segment is `before` with zero or more lines appended, as every later value must
+    /// be.
     pub(super) fn extends(&self, before: &Segment) -> bool {
         self.claims.starts_with(&before.claims)
     }
 
-    /// When the last of the claims may be forgotten.
+    /// When the last of the claims expires.
     pub(super) fn newest_until(&self) -> UnixMillis {
         self.claims.iter().map(|claim| claim.until).max().unwrap_or_default()
     }
--- a/crates/borageswitch_control/src/reducer/claims/tests.rs
+++ b/crates/borageswitch_control/src/reducer/claims/tests.rs
@@ -53,8 +53,8 @@
     assert_eq!(Segment::from_bytes(b"open\nff"), None);
 }
 
-/// The store appends a claim and its answer is lost on the way. The caller must get its one
-/// execution: the segment is read back and the nonce tells that the claim is its own.
+/// The store appends a claim but its response is lost. The request must still run: the segment is
+/// read back and the nonce identifies the claim as the requester's own.
 #[test]
 fn a_lost_answer_is_settled_by_the_nonce() {
     let mut chain = loaded_chain();
@@ -74,8 +74,9 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Granted)]);
 }
 
-/// Two daemons believe to own a shard and claim one key at the same time. The second loses the
-/// compare-and-swap, reads the first one's claim and refuses: one execution, not two.
+/// Two daemons consider themselves the owner of a shard and claim one key at the same time. The
+/// loser of the compare-and-swap must read the winner's claim and reject its own, or the request
+/// would run twice.
 #[test]
 fn the_loser_of_a_race_reads_the_winners_claim() {
     let mut chain = loaded_chain();
@@ -102,7 +103,7 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::AlreadyClaimed)]);
 }
 
-/// The store stays away until the deadline. The caller is told in time that nothing ran.
+/// If the store is unavailable until the deadline, the claim must be reported as unavailable.
 #[test]
 fn an_outage_past_the_deadline_refuses() {
     let mut chain = loaded_chain();
@@ -115,8 +116,8 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Unavailable)]);
 }
 
-/// A burst fills a segment: the write that fills it seals it, and the next claim begins another
-/// one, so that no write grows without bound.
+/// The write that fills a segment must seal it, and the next claim must start another one;
+/// otherwise writes would grow without bound.
 #[test]
 fn a_full_segment_is_sealed_and_followed() {
     let mut chain = loaded_chain();
@@ -161,10 +162,9 @@
     Release { key: ClaimKey(key), nonce: ClaimNonce(nonce), window, deadline }
 }
 
-/// A payroll was granted, every target refused it, and its clerk sends it again under its id. The
-/// resend comes while the release is still unwritten: it waits for that and is granted. A late copy
-/// of the first ask must not claim the key again, and neither does the first claim return when the
-/// chain is read anew.
+/// A request is granted, refused by every target and sent again under its id. The retry arrives
+/// before the release is written: it must wait for the release and be granted. Neither a delayed
+/// copy of the first request nor reloading the chain may restore the first claim.
 #[test]
 fn a_released_claim_no_longer_blocks_its_key() {
     let mut chain = loaded_chain();
@@ -196,7 +196,7 @@
     assert_eq!(outcomes(&mut other), [(101, ClaimOutcome::AlreadyClaimed)]);
 }
 
-/// A release comes of a nonce that does not hold the key. The claim that does must stand, or the
+/// A release of a nonce that does not hold the key must leave the key's claim in place, or the
 /// request would run twice.
 #[test]
 fn a_release_of_another_nonce_changes_nothing() {
@@ -216,8 +216,8 @@
     assert_eq!(outcomes(&mut chain), expected);
 }
 
-/// The chain holds two claims of a key, and the first was released only after the second was made.
-/// Two daemons may have sent the request: the daemon that reads this must stop.
+/// The chain contains two claims of a key, and the first was released only after the second was
+/// made. Two daemons may have sent the request, so the daemon that reads the chain must panic.
 #[test]
 #[should_panic(expected = "is claimed twice")]
 fn a_release_after_the_second_claim_excuses_nothing() {
@@ -236,8 +236,8 @@
     chain.on_response(step, Time::ZERO, Time::ZERO, Ok(StoreResponse::Values(vec![kv])));
 }
 
-/// Another daemon has written a release that this one has not read. A resend must not be refused
-/// for what was true earlier: the end of the chain is read first.
+/// Another daemon has written a release that this one has not read. A retry must not be rejected
+/// because of the outdated claim: the end of the chain must be read first.
 #[test]
 fn a_claim_known_earlier_is_looked_at_again_before_it_refuses() {
     let mut chain = loaded_chain();
--- a/crates/borageswitch_control/src/reducer/drains.rs
+++ b/crates/borageswitch_control/src/reducer/drains.rs
@@ -1,9 +1,9 @@
-//! Which leaving hosts are drained: nothing of any daemon is in flight there any more.
+//! Determines which leaving hosts are drained, that is, have no requests of any daemon in flight.
 //!
-//! Without the wait for everyone's confirmation a host would be rebooted while another entry,
-//! which had not heard of the leave yet, still sends it work; its callers would see answers break
-//! off. A daemon that is silent counts as live until it has surely stopped taking work and the
-//! requests that it had in flight have surely ended.
+//! Every daemon must confirm the drain. Otherwise a host would be rebooted while another entry,
+//! which does not know of the leave yet, still sends it work, and callers would see their responses
+//! cut off. A silent daemon counts as live until it has certainly stopped taking work and the
+//! requests that it had in flight have certainly ended.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,14 +16,14 @@
 
 use crate::reducer::{State, members::KnownMember};
 
-/// The epoch of a host, and when and at which revision this daemon first saw it.
+/// A host's epoch and the revision at which this daemon first saw it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownEpoch {
     pub(super) epoch: u64,
     pub(super) revision: Revision,
 }
 
-/// Why a leaving host is not drained.
+/// Why a leaving host is not drained yet.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub(super) enum DrainBlocker {
     #[display("this daemon's traffic threads do not send by the new revision yet")]
@@ -41,7 +41,7 @@
 }
 
 impl State {
-    /// What this daemon says of its own progress.
+    /// This daemon's own progress, as reported in heartbeats.
     pub(super) fn own_progress(&self) -> Progress {
         let applied = self.traffic.applied;
         let draining = self.leaving.iter().filter_map(|host| {
@@ -53,7 +53,7 @@
         Progress { applied, draining, failing: self.own_failing(), serving: self.is_admitting() }
     }
 
-    /// Keeps the epochs and the leaving hosts in step with the document.
+    /// Updates the epochs and the leaving hosts from the fleet document.
     pub(super) fn refresh_phases(&mut self) {
         let Some(fleet) = self.sync.fleet().cloned() else { return };
         self.remove_unknown_hosts();
@@ -78,13 +78,13 @@
         self.observed.phase_since.insert(name.clone(), self.now);
     }
 
-    /// Brings the set of drained hosts up to date.
+    /// Recomputes the set of drained hosts.
     pub(super) fn refresh_drained(&mut self) {
         let drained = self.leaving.iter().filter(|host| self.undrained(host).is_none());
         self.observed.drained = drained.cloned().collect();
     }
 
-    /// Why a leaving host is not drained, or nothing if it is and the planner may go on.
+    /// Why a leaving host is not drained, or `None` if it is and the planner may proceed.
     fn undrained(&self, host: &HostName) -> Option<DrainBlocker> {
         let seen = self.epochs.get(host)?;
         let covered = self.members.list_covers.is_some_and(|covered| covered >= seen.revision);
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Why a leaving host is not drained, as far as this daemon can tell without the list of
-    /// members, which only the planner reads often.
+    /// Why a leaving host is not drained, disregarding the list of members, which only the planner
+    /// reads often.
     pub(super) fn local_drain_blocker(&self, host: &HostName) -> Option<DrainBlocker> {
         let seen = self.epochs.get(host)?;
         if self.traffic.applied < seen.revision {
@@ -127,7 +127,7 @@
         self.unknown_daemons(&confirmed_at)
     }
 
-    /// Whether daemons that this one does not know of might still serve by an old document.
+    /// Whether daemons unknown to this one may still serve by an old document.
     fn unknown_daemons(&self, confirmed_at: &[Time]) -> Option<DrainBlocker> {
         let expected = self.sync.fleet().map_or(0, |fleet| fleet.entries_expected);
         let needed = usize::from(expected / 2) + 1;
@@ -147,8 +147,8 @@
         (*acked == epoch).then_some(*at)
     }
 
-    /// Whether a daemon has been silent, and without a lease, so long that it has stopped taking
-    /// work by itself and every request of its has ended.
+    /// Whether a daemon has been silent and without a lease for so long that it has stopped taking
+    /// work and all its requests have ended.
     fn has_surely_stopped(
         &self,
         daemon: &DaemonName,
@@ -167,14 +167,14 @@
         last + self.cfg.silence_timeout + drain_timeout <= self.now
     }
 
-    /// The longest time that a request may be in flight on a host.
+    /// The longest time for which a request may be in flight on a host.
     fn drain_timeout(&self, host: &HostName) -> Duration {
         let Some(fleet) = self.sync.fleet() else { return Duration::ZERO };
         let Some(record) = fleet.hosts.get(host) else { return Duration::ZERO };
         self.longest_deadline(|pool| *pool == record.pool)
     }
 
-    /// The longest time that a crashed daemon may matter for any host.
+    /// The longest time for which a crashed daemon may have requests in flight on any host.
     pub(super) fn longest_drain_timeout(&self) -> Duration {
         self.longest_deadline(|_| true) + self.cfg.silence_timeout
     }
--- a/crates/borageswitch_control/src/reducer/duties.rs
+++ b/crates/borageswitch_control/src/reducer/duties.rs
@@ -1,8 +1,8 @@
-//! Takes duties: keys in the store under the daemon's lease.
+//! Acquires and releases duties, which are keys in the store under the daemon's lease.
 //!
-//! A duty's key can be created by one daemon at a time and ends with that daemon's lease. Its
-//! version is the fence: each holder's is higher than those of all holders before. A holder that
-//! was paused finds its lease past on its own clock before any effect leaves.
+//! Only one daemon can hold a duty's key, which is deleted when that daemon's lease ends. The key's
+//! version is the fencing token: each holder's is higher than those of all earlier holders. After a
+//! pause, a holder detects by its own clock that its lease has expired before it emits any effect.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,12 +18,12 @@
 
 const RETRY_BASE: Duration = Duration::from_millis(500);
 
-/// A call on behalf of a duty.
+/// A store call made to acquire a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Create the duty's key under the lease.
+    /// Creates the duty's key under the lease.
     Claim(LeaseId),
-    /// The answer to a claim was lost: read whose the duty is.
+    /// Reads the duty's holder after the response to a claim was lost.
     ReadBack(LeaseId),
 }
 
@@ -41,7 +41,7 @@
     next_try: Time,
 }
 
-/// How far this daemon has come with each duty that it could take.
+/// The acquisition state of each duty that this daemon can hold.
 #[derive(Debug, Default)]
 pub(super) struct Duties {
     states: BTreeMap<Duty, DutyState>,
@@ -66,7 +66,7 @@
         format!("borageswitch/{}/duty/{duty}", self.cfg.region).into()
     }
 
-    /// Whether this daemon holds a duty under a lease that has not nearly ended.
+    /// Whether this daemon holds a duty under a lease that is valid with a safety margin.
     pub(super) fn may_act(&self, duty: &Duty) -> bool {
         let in_time = self.now < self.session.valid_until() || !self.cfg.guards.fencing;
         self.duties.fence(duty).is_some() && in_time && !self.stopping
@@ -115,7 +115,7 @@
     ) {
         let (Step::Claim(lease) | Step::ReadBack(lease)) = step;
         if self.session.lease() != Some(lease) {
-            // The lease ended while the answer was on its way, and the key with it.
+            // The lease, and the key with it, ended before the response arrived.
             self.duty_not_acquired(duty);
             return;
         }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A change in the name of the planner's duty.
+    /// Creates a change request authored by the holder of the planner duty.
     pub(super) fn holder_request(
         &mut self,
         change: FleetChange,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Gives the duties back so that others need not wait for the lease to end.
+    /// Releases the duties so that other daemons need not wait for the lease to expire.
     pub(super) fn release_duties(&mut self) {
         for duty in self.duties.held() {
             let Some(fence) = self.duties.fence(&duty) else { continue };
@@ -186,7 +186,7 @@
         self.lose_duties("the daemon is stopping");
     }
 
-    /// A newer holder has written: this daemon's duty has passed on.
+    /// Drops a duty after a newer holder has written with a higher fencing token.
     pub(super) fn duty_fenced(&mut self, duty: &Duty) {
         self.record_decision(format!("{} was fenced off {duty} by a newer holder", self.me()));
         self.duty_not_acquired(duty);
--- a/crates/borageswitch_control/src/reducer/explaining.rs
+++ b/crates/borageswitch_control/src/reducer/explaining.rs
@@ -1,4 +1,4 @@
-//! Keeps decisions with their reasons, and tells why something waits.
+//! Records decisions with their reasons, and explains to operators why something waits.
 
 use std::{collections::BTreeMap, collections::VecDeque, sync::Arc};
 
@@ -8,24 +8,24 @@
 
 use crate::{effect::Effect, reducer::State};
 
-/// How many decisions are kept: an hour of a busy wave in under 64 KB.
+/// Number of decisions kept: an hour of a busy wave, in under 64 KB.
 const MAX_DECISIONS: usize = 512;
-/// How many decisions one explanation repeats.
+/// Number of decisions included in one explanation.
 const MAX_EXPLAINED_DECISIONS: usize = 8;
 
-/// A decision and when it was taken.
+/// A decision with the time at which it was made.
 #[derive(Clone, Debug, serde::Serialize)]
 pub(super) struct Decision {
     at: Time,
     text: Arc<str>,
 }
 
-/// The last decisions, oldest first.
+/// The most recent decisions, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Decisions(VecDeque<Decision>);
 
 impl State {
-    /// Keeps a decision with its reason.
+    /// Records a decision with its reason.
     pub(super) fn record_decision(&mut self, text: String) {
         let text: Arc<str> = text.into();
         if self.decisions.0.len() >= MAX_DECISIONS {
@@ -71,7 +71,7 @@
         last.iter().rev().map(|d| format!("{} s ago: {}", ago(d), d.text)).collect()
     }
 
-    /// Why hosts that leave are not drained: a host by itself, or those of a wave.
+    /// Explains why leaving hosts are not drained, for one host or all hosts of a wave.
     fn explain_drains(&self, subject: &Subject) -> Vec<String> {
         let is_subject = |host: &&HostName| match subject {
             Subject::Host(name) => *host == name,
@@ -89,7 +89,7 @@
         lines.collect()
     }
 
-    /// The daemon's whole state as JSON.
+    /// The daemon's full state as JSON.
     pub(super) fn dump(&self) -> String {
         let members = self.members.known.iter().map(|(daemon, known)| {
             let contact = self.members.contacts.get(daemon);
--- a/crates/borageswitch_control/src/reducer/fleet_sync.rs
+++ b/crates/borageswitch_control/src/reducer/fleet_sync.rs
@@ -1,8 +1,9 @@
-//! Reads and watches the fleet document and adopts only higher revisions.
+//! Reads and watches the fleet document, adopting only higher revisions.
 //!
-//! Only the relay of a data centre watches the store, so waiting watches grow with data centres
-//! and not with daemons. Everybody else is told by the tree and reads the store seldom: after its
-//! registration, when no relay is heard, and when it stays behind a revision that it has heard of.
+//! Only the relay of a data centre watches the store, so the number of open watches grows with data
+//! centres, not with daemons. All other daemons receive changes through the tree. They read the
+//! store only after registering, when there is no contact with a relay, and when they stay behind a
+//! revision known to a peer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,17 +22,17 @@
     store::{KeyValue, StoreError, StoreRequest, StoreResponse, Version},
 };
 
-/// How long the store holds a watch: long enough to cost few calls, short enough that a watch that
-/// went silent is noticed.
+/// How long the store holds a watch: long enough to need few calls, short enough to notice a watch
+/// that is no longer served.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// The first wait after a failed read.
+/// Base delay of the backoff after a failed read.
 const RETRY_BASE: Duration = Duration::from_millis(250);
-/// A daemon without a relay reads the store this often.
+/// How often a daemon without a relay reads the store.
 const READ_WITHOUT_RELAY: Duration = Duration::from_secs(2);
-/// A daemon that stays behind for this time reads the store.
+/// How long a daemon may stay behind a known revision before it reads the store.
 const READ_WHEN_BEHIND: Duration = Duration::from_secs(2);
 
-/// The document as this daemon knows it.
+/// The fleet document known to this daemon, and the state of its synchronisation.
 #[derive(Debug, Default)]
 pub(super) struct FleetSync {
     fleet: Option<Arc<Fleet>>,
@@ -40,7 +41,7 @@
     read_again: Option<Time>,
     last_read: Time,
     backoff: Backoff,
-    /// Since when a higher revision has been known than the document's.
+    /// Since when a revision higher than the document's has been known.
     behind_since: Option<Time>,
     pub(super) next_fleet_request: Time,
 }
@@ -90,7 +91,7 @@
         !is_notified && idle >= READ_WITHOUT_RELAY && self.sync.read_again.is_none()
     }
 
-    /// Notes that a peer knows a revision; whoever stays behind one reads the store.
+    /// Records that a peer knows a revision; the store is read if this daemon stays behind it.
     pub(super) fn revision_seen(&mut self, revision: Revision) {
         let (known, _) = self.known_document();
         if revision <= known {
@@ -145,7 +146,7 @@
     fn document_absent(&mut self) {
         match &self.sync.fleet {
             None => self.sync.fleet = Some(Arc::new(Fleet::empty(self.cfg.region.clone()))),
-            // The store has lost the document; the next change writes it whole again.
+            // The store has lost the document; the next change writes it in full.
             Some(_) => self.sync.version = Version::ABSENT,
         }
     }
@@ -161,12 +162,12 @@
         }
     }
 
-    /// Adopts a document unless a newer one is known, and passes it on to the neighbours other
-    /// than the one from which it came.
+    /// Adopts a document unless a newer one is known, and forwards it to all neighbours except its
+    /// sender.
     ///
-    /// Reads, watches, peers and answers to writes race each other. Without the check an answer
-    /// that was read early and arrived late would bring an old document back, and a host that had
-    /// left would get new work.
+    /// Reads, watches, peer messages and write responses may arrive in any order. Without the check
+    /// a delayed response would restore an old document, and a host that has left would get new
+    /// work.
     pub(super) fn adopt(&mut self, fleet: Fleet, version: Version, from: Option<&DaemonName>) {
         let before = self.sync.fleet.clone();
         if version > self.sync.version {
@@ -196,11 +197,11 @@
     }
 }
 
-/// Asserts what no two documents in a row may break, whichever way they came.
+/// Asserts the invariants between two successive documents, regardless of their source.
 ///
 /// # Panics
 ///
-/// When the revision or a fence goes down, or a host changes its pool within one epoch.
+/// If the revision or a fencing token decreases, or a host changes its pool within one epoch.
 fn check_successor(before: &Fleet, after: &Fleet) {
     assert!(
         after.revision >= before.revision,
--- a/crates/borageswitch_control/src/reducer/host_list.rs
+++ b/crates/borageswitch_control/src/reducer/host_list.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's list of hosts for the planner.
 //!
-//! Only the holder of the planner's duty reads it: one call in [`READ_INTERVAL`] for the region,
-//! whatever the number of daemons and hosts.
+//! Only the holder of the planner duty reads it, so the region makes one call per [`READ_INTERVAL`]
+//! for any number of daemons and hosts.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use crate::{effect::Effect, event::ListedHost, reducer::State};
 
-/// How often the list is read: a leaving host is to get no new work after a few seconds.
+/// How often the list is read: a leaving host must stop getting new work within a few seconds.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When the list is read next.
+/// Schedule of the host list reads.
 #[derive(Debug, Default)]
 pub(super) struct HostListing {
     next_read: Time,
@@ -27,7 +27,7 @@
         self.effects.push(Effect::ReadHostList);
     }
 
-    /// Takes a list in; while none can be read, the last one stands.
+    /// Applies a host list; if it could not be read, the previous one stays in effect.
     pub(super) fn host_list_received(&mut self, hosts: Option<Vec<ListedHost>>) {
         let Some(hosts) = hosts else { return };
         let leaving = hosts.into_iter().filter(|listed| listed.leaving).map(|listed| listed.host);
--- a/crates/borageswitch_control/src/reducer/members.rs
+++ b/crates/borageswitch_control/src/reducer/members.rs
@@ -1,4 +1,5 @@
-//! Who belongs to the region: learned from the store's list, from peers' rosters and by hearing.
+//! Tracks the members of the region, learned from the store's list, peers' rosters and direct
+//! connections.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,30 +20,32 @@
     store::{KeyValue, StoreError, StoreRequest, StoreResponse, Version},
 };
 
-/// A planner lists the members this often while a host leaves; a drain waits for a list.
+/// How often a planner lists the members while a host is leaving, as drains wait for a list.
 const LIST_INTERVAL_WHILE_LEAVING: Duration = Duration::from_secs(1);
-/// A planner lists the members this often otherwise.
+/// How often a planner lists the members otherwise.
 const LIST_INTERVAL_AS_PLANNER: Duration = Duration::from_secs(15);
-/// Everybody else learns from rosters and lists seldom.
+/// How often all other daemons, which learn of members from rosters, list them.
 const LIST_INTERVAL: Duration = Duration::from_secs(120);
-/// A member that was never listed is forgotten when it was not heard for this time.
+/// How long a member that was never listed is kept without contact.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
-/// A daemon leaves the dialling to the peer with the lower name for this time.
+/// How long a daemon waits for a peer with a lower name to dial it before it dials that peer
+/// itself.
 const DIAL_DELAY: Duration = Duration::from_secs(2);
-/// Names of daemons that are gone, kept so that an old roster does not bring them back.
+/// Maximum number of names of removed daemons kept, so that an old roster does not add them again.
 const MAX_GONE: usize = 256;
 
-/// A member as the store's last list showed it.
+/// A member's state in the store's last list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedMember {
     member_version: Version,
-    /// Whether its lease stood.
+    /// Whether its lease was valid.
     pub(super) live: bool,
-    /// Since when no lease can have stood, as far as the lists of this daemon prove it.
+    /// Since when the member provably has had no lease, judged by the lists that this daemon has
+    /// read.
     pub(super) gone_since: Option<Time>,
 }
 
-/// One known member other than this daemon.
+/// A known member other than this daemon.
 #[derive(Clone, Debug)]
 pub(super) struct KnownMember {
     pub(super) member: Member,
@@ -52,7 +55,7 @@
     pub(super) listed: Option<ListedMember>,
 }
 
-/// Everybody whom this daemon knows.
+/// The known members of the region.
 #[derive(Debug, Default)]
 pub(super) struct Members {
     pub(super) known: BTreeMap<DaemonName, KnownMember>,
@@ -60,21 +63,22 @@
     gone: BTreeSet<DaemonName>,
     pub(super) own_version: Option<Version>,
     next_list: Time,
-    /// The revision that was known when the last answered list was asked for.
+    /// The revision known when the last successful list was requested.
     pub(super) list_covers: Option<Revision>,
-    /// Counts the changes of [`Self::known`].
+    /// Incremented whenever [`Self::known`] gains or loses a member.
     pub(super) generation: u64,
 }
 
 impl State {
-    /// The other daemon that holds a duty, as far as it was heard not long ago.
+    /// Another daemon that reported recently that it holds a duty.
     pub(super) fn recent_holder(&self, duty: &Duty) -> Option<&DaemonName> {
         let recent = |contact: &PeerContact| contact.at + self.cfg.silence_timeout / 2 > self.now;
         let mut holders = self.members.contacts.iter().filter(|(_, h)| h.duties.contains(duty));
         holders.find(|(_, contact)| recent(contact)).map(|(daemon, _)| daemon)
     }
 
-    /// Whether a member may be alive: it was heard, or has not had the time to be heard.
+    /// Whether a member may be alive: it had contact recently, or became known too recently to have
+    /// had any.
     pub(super) fn may_be_alive(&self, daemon: &DaemonName) -> bool {
         let silence = self.cfg.silence_timeout;
         let has_contact =
@@ -102,7 +106,7 @@
         let now = self.now;
         if let Some(known) = self.members.known.get_mut(&daemon) {
             known.up = true;
-            // A connection that stands again gives the peer time to be heard.
+            // A peer that has reconnected gets time to make contact.
             known.first_known = now;
         }
         self.schedule_heartbeat();
@@ -190,7 +194,8 @@
         if any_leaves || any_gone { LIST_INTERVAL_WHILE_LEAVING } else { LIST_INTERVAL_AS_PLANNER }
     }
 
-    /// Asks for a list soon: a host has begun to leave, and its drain waits for a list.
+    /// Schedules a list at the next tick: a host has begun to leave, and its drain waits for a
+    /// list.
     pub(super) fn schedule_member_list(&mut self) {
         if self.may_act(&Duty::Planner) {
             self.members.next_list = self.now;
@@ -228,7 +233,7 @@
                 continue;
             }
             match serde_json::from_slice::<Member>(&kv.value) {
-                // A daemon that was paused for long registers again under its old name.
+                // A daemon that was paused for a long time registers again under its old name.
                 Ok(member) => {
                     self.members.gone.remove(daemon);
                     self.add_member(member);
@@ -239,9 +244,10 @@
             let Some(known) = self.members.known.get_mut(daemon) else { continue };
             let before = known.listed.take().unwrap_or_default();
             let member_version = kv.version;
-            // A registration between two lists writes the member key anew. Without this proof the
-            // absence would have to count from the later list, and a wave that waits for a daemon
-            // that is gone would wait anew whenever a list comes late.
+            // A registration rewrites the member key, so an unchanged version proves that the
+            // daemon did not register between the two lists. Without this proof its absence would
+            // count from the later list, and a wave that waits for a crashed daemon would start
+            // waiting again with every late list.
             let unchanged = before.member_version == member_version;
             let gone_before = before.gone_since.filter(|_| unchanged).unwrap_or(now);
             let gone_since = (!live).then_some(gone_before);
@@ -256,8 +262,8 @@
         }
     }
 
-    /// As the planner, removes the member keys of daemons that crashed so long ago that nothing of
-    /// theirs can be in flight.
+    /// As the planner, deletes the member keys of daemons that crashed so long ago that none of
+    /// their requests can be in flight.
     fn remove_crashed_members(&mut self) {
         if !self.may_act(&Duty::Planner) {
             return;
--- a/crates/borageswitch_control/src/reducer/mod.rs
+++ b/crates/borageswitch_control/src/reducer/mod.rs
@@ -1,17 +1,19 @@
-//! The reducer: the one place where the daemon's control state changes.
+//! The reducer: the only code that changes the daemon's control state.
 //!
-//! - [`session`] keeps the daemon's lease and its place in the store; [`duties`] stand under it.
-//! - [`members`] knows who belongs to the region; [`tree`] carries heartbeats between them.
-//! - [`fleet_sync`] reads, watches and adopts the document; [`spreading`] passes changes on.
-//! - [`host_list`] reads which hosts the platform is about to take away.
-//! - [`writing`] turns changes into compare-and-swaps and settles answers that were lost.
-//! - [`admission`] says until when the daemon may take new work by itself.
-//! - [`drains`] tells which leaving hosts are drained; [`planning`] sends the planner's steps.
-//! - [`observing`] keeps what the planner's holder sees of hosts.
-//! - [`claims`] lets a non-idempotent request be sent at most once.
-//! - [`views`] makes the traffic threads' view from the document.
-//! - [`operators`] and [`explaining`] answer operators and keep decisions.
-//! - [`store_calls`] bounds and counts the calls to the store.
+//! - [`session`] keeps the daemon's lease and registration in the store; [`duties`] are held under
+//!   that lease.
+//! - [`members`] tracks the members of the region; [`tree`] exchanges heartbeats between them.
+//! - [`fleet_sync`] reads, watches and adopts the fleet document; [`propagation`] forwards changes
+//!   to peers.
+//! - [`host_list`] reads from the platform which hosts it will take away.
+//! - [`writing`] turns changes into compare-and-swap writes and recovers from lost responses.
+//! - [`admission`] computes until when the daemon may take new work.
+//! - [`drains`] tracks which leaving hosts are drained; [`planning`] executes the planner's steps.
+//! - [`observing`] probes hosts on behalf of the planner.
+//! - [`claims`] ensures that a non-idempotent request is sent at most once.
+//! - [`views`] derives the traffic threads' view from the fleet document.
+//! - [`operators`] and [`explaining`] respond to operators and record decisions.
+//! - [`store_calls`] rate-limits, times out and counts the calls to the store.
 
 mod admission;
 mod claims;
@@ -53,11 +55,11 @@
     store::Version,
 };
 
-/// Ticks come many times a second; a longer time without any event means that the process was
-/// paused, and is worth a line in the log.
+/// Ticks arrive many times a second, so this time without any event means that the process was
+/// paused, which is logged.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
-/// After the stop so many reports of the traffic threads must say that nothing is unfinished: the
-/// first may have been made before they knew.
+/// Number of traffic reports without unfinished requests that must arrive after a stop before the
+/// process exits: the first may predate the stop.
 const REPORTS_AFTER_STOP: u32 = 2;
 
 /// The control state of one daemon.
@@ -95,7 +97,7 @@
 }
 
 impl State {
-    /// The state of a daemon that has just started and knows nothing.
+    /// Creates the state of a daemon that has just started.
     pub fn new(cfg: ControlConfig) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(cfg.seed),
@@ -130,12 +132,12 @@
         }
     }
 
-    /// Handles one event at `now` and gives what is to be done because of it.
+    /// Handles one event at `now` and returns the resulting effects.
     ///
     /// # Panics
     ///
-    /// When a promise would be broken: a document or a fence that goes back, a key claimed twice,
-    /// a command that would leave after the holder's lease.
+    /// If an invariant is violated: the revision of the document or a fencing token decreases, a
+    /// key is claimed twice, or a command would be sent after the holder's lease has expired.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.advance_time(now);
         match event {
@@ -156,12 +158,12 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The fleet document as this daemon knows it.
+    /// The fleet document known to this daemon.
     pub fn fleet(&self) -> Option<&Arc<Fleet>> {
         self.sync.fleet()
     }
 
-    /// How many calls to the store were made, by purpose, since the start.
+    /// Number of calls to the store since the start, by purpose.
     pub fn store_call_counts(&self) -> &BTreeMap<&'static str, u64> {
         self.store_calls.counts()
     }
@@ -171,12 +173,12 @@
         self.duties.held()
     }
 
-    /// The duties that this daemon holds, as far as it knows.
+    /// The duties that this daemon believes it holds.
     pub fn duties_held(&self) -> Vec<Duty> {
         self.duties.held()
     }
 
-    /// The live daemons that do not send by a revision yet, or have not said so.
+    /// The live daemons that have not confirmed that they apply a revision.
     pub fn lagging_daemons(&self, revision: Revision) -> Vec<DaemonName> {
         self.lagging(revision)
     }
--- a/crates/borageswitch_control/src/reducer/observing.rs
+++ b/crates/borageswitch_control/src/reducer/observing.rs
@@ -1,8 +1,9 @@
-//! What the planner's holder sees of hosts: agents' answers, silence, and failing work.
+//! Collects the planner's observations of hosts: agents' responses, silence and failing requests.
 //!
-//! Probing each of 1,700 hosts every few seconds would cost more than all else that daemons say.
-//! Hosts with traffic are watched by the traffic: entries report which hosts fail nearly all they
-//! are given. The holder asks the agents of those, and of all others one a second in turn.
+//! Probing each of 1,700 hosts every few seconds would cost more than all other messages of the
+//! daemons. Hosts with traffic are monitored through it instead: entries report which hosts fail
+//! nearly all requests. The holder of the planner duty probes the agents of those hosts, and one of
+//! all other hosts each second, in rotation.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,16 +16,18 @@
 
 use crate::reducer::State;
 
-/// A host that fails this share of its work, in thousandths, is reported to the planner.
+/// The share of failed requests, in thousandths, from which a host is reported to the planner.
 pub(super) const FAILING_PERMILLE: u16 = 800;
-/// How often one host in turn, and each suspected host, is asked.
+/// How often the next host in rotation and each suspected host are probed.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The most suspected hosts that are asked at once: a lost data centre must not cause a storm.
+/// Maximum number of suspected hosts probed at once, so that the loss of a data centre causes no
+/// burst of probes.
 const MAX_SUSPECTS: usize = 16;
-/// One unanswered command may be the network's fault; a host is silent after this many.
+/// Number of unanswered commands after which a host counts as silent; a single one may be a network
+/// fault.
 const SILENT_AFTER: u32 = 2;
 
-/// The rhythm of probes and the hosts whose agents did not answer.
+/// The probe schedule and the hosts whose agents did not respond.
 #[derive(Debug, Default)]
 pub(super) struct Observing {
     next_probe: Time,
@@ -57,8 +60,8 @@
                 self.observed.done_since.insert(host.clone(), (done.clone(), self.now));
             }
         }
-        // The planner is asked at once when a state changes; readings of the draw change all the
-        // time and can wait for its next turn.
+        // A changed state triggers planning at once. Power readings change constantly and can wait
+        // for the next regular run.
         let known = self.observed.agents.get(&host);
         let has_changed = known.is_none_or(|k| k.ready != status.ready || k.done != status.done);
         self.observed.agents.insert(host, status);
@@ -68,7 +71,7 @@
     }
 
     fn record_silence(&mut self, host: HostName) {
-        // A host that does its work well can be reached, whatever its agent does.
+        // A host that serves requests successfully is reachable, whatever its agent does.
         let works = self.traffic.failing.get(&host).is_some_and(|share| *share < FAILING_PERMILLE);
         let unanswered = self.observing.unanswered.entry(host.clone()).or_default();
         *unanswered += 1;
@@ -77,15 +80,15 @@
         }
     }
 
-    /// The hosts that this daemon saw fail nearly everything.
+    /// The hosts that fail nearly all requests of this daemon.
     pub(super) fn own_failing(&self) -> BTreeMap<HostName, u16> {
         let failing = self.traffic.failing.iter();
         let failing = failing.filter(|(_, share)| **share >= FAILING_PERMILLE);
         failing.map(|(host, share)| (host.clone(), *share)).collect()
     }
 
-    /// Which hosts fail their work in the eyes of half the entries that report any failure, or of
-    /// two at least: one entry alone may have a fault of its own.
+    /// Recomputes which hosts are failing. With several entries at least two must report a host,
+    /// since a single entry may itself be at fault.
     pub(super) fn refresh_failing(&mut self) {
         let mut reports: BTreeMap<HostName, usize> = BTreeMap::new();
         let silence = self.cfg.silence_timeout;
@@ -129,7 +132,7 @@
         next
     }
 
-    /// Forgets the hosts that are no longer in the document.
+    /// Removes the state of hosts that are no longer in the fleet document.
     pub(super) fn remove_unknown_hosts(&mut self) {
         let Some(fleet) = self.sync.fleet().cloned() else { return };
         let hosts = &fleet.hosts;
--- a/crates/borageswitch_control/src/reducer/operators.rs
+++ b/crates/borageswitch_control/src/reducer/operators.rs
@@ -1,4 +1,4 @@
-//! Answers what operators ask.
+//! Responds to operators' requests.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     reducer::{State, writing::Origin},
 };
 
-/// An operator who waits until a revision is in force.
+/// A request that waits until a revision is in force.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InForceWait {
     call: OperatorCallId,
@@ -59,7 +59,7 @@
         self.effects.push(Effect::RespondToOperator { call, response });
     }
 
-    /// Answers whoever waits for a revision that is in force by now, or has waited long enough.
+    /// Responds to the waits whose revision is in force or whose timeout has passed.
     pub(super) fn resolve_waits(&mut self) {
         let in_force_waits = std::mem::take(&mut self.in_force_waits);
         for wait in in_force_waits {
@@ -73,9 +73,9 @@
         }
     }
 
-    /// The live daemons that do not send by a revision yet, or have not said so.
+    /// The live daemons that have not confirmed that they apply a revision.
     ///
-    /// A daemon that has been silent for longer than it may serve by itself counts no more.
+    /// A daemon that has been silent for longer than it may keep serving is not included.
     pub(super) fn lagging(&self, revision: Revision) -> Vec<DaemonName> {
         let has_applied = |daemon: &DaemonName| {
             let contact = self.members.contacts.get(daemon);
@@ -87,10 +87,11 @@
         own.into_iter().chain(behind).collect()
     }
 
-    /// Whether a silent daemon may still serve: its lease may stand, or it may hear a majority.
+    /// Whether a daemon may still serve: its lease may be valid, or it may have contact with a
+    /// majority.
     ///
-    /// Only the planner lists the leases often. Elsewhere a lease that was never listed may stand as
-    /// well as not: if it were taken for ended, an operator who waits at another daemon would be told
+    /// Only the planner lists the leases often, so on other daemons a lease that was never listed
+    /// must be assumed valid. Otherwise an operator who waits at such a daemon would be notified
     /// that a change is in force while a daemon that was paused for two seconds still serves by the
     /// old revision.
     fn may_serve(&self, daemon: &DaemonName) -> bool {
--- a/crates/borageswitch_control/src/reducer/planning.rs
+++ b/crates/borageswitch_control/src/reducer/planning.rs
@@ -1,4 +1,4 @@
-//! Asks the planner for steps and sends them on their way.
+//! Runs the planner and executes the steps that it returns.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
     reducer::{State, writing::Origin},
 };
 
-/// How often a host's agent is asked.
+/// Minimum time between two commands to the same host's agent.
 const COMMAND_INTERVAL: Duration = Duration::from_millis(500);
-/// With news the planner is asked this often at the most: a step costs milliseconds on a large
-/// fleet, and confirmations arrive one by one.
+/// Minimum time between two planner runs after changes: a run costs milliseconds on a large fleet,
+/// and confirmations arrive one by one.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Without news the planner is asked this often, for what follows from time alone.
+/// Time between two planner runs without changes, for steps that depend on time alone.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
-/// At most so many planned changes go into one write.
+/// Maximum number of planned changes in one write.
 const MAX_PLANNED_CHANGES: usize = 8;
 
-/// When the planner was asked and shall be asked again.
+/// When the planner last ran and when it runs next.
 #[derive(Debug, Default)]
 pub(super) struct Planning {
     last: Time,
--- a/crates/borageswitch_control/src/reducer/propagation.rs
+++ b/crates/borageswitch_control/src/reducer/propagation.rs
@@ -1,8 +1,9 @@
-//! Passes changes on along the tree, and checks what comes in.
+//! Propagates fleet changes along the tree, and verifies received ones.
 //!
-//! A delta says from which revision it starts and what digest the document has in the end. The
-//! receiver applies the same function to the same changes; should the two daemons differ, by a
-//! fault or by versions of the program, the digest tells and the whole document is asked for.
+//! A delta contains its base revision and the digest of the resulting document. The receiver
+//! applies the same function to the same changes; if its result differs, through a fault or a
+//! different program version, the digest does not match and the receiver requests the whole
+//! document.
 
 use std::time::Duration;
 
@@ -15,20 +16,20 @@
 
 use crate::{reducer::State, store::Version};
 
-/// A daemon that is behind asks a neighbour this often.
+/// Minimum time between two requests to a neighbour while this daemon is behind.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Why a delta cannot be used.
+/// Why a delta cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeltaError {
-    /// It starts after the revision that is known.
+    /// Its base is higher than the known revision.
     Gap,
-    /// It does not lead where its sender says.
+    /// Its result does not match the sender's revision or digest.
     Mismatch,
 }
 
 impl State {
-    /// Sends what has changed since `base` to every neighbour but the one from which it came.
+    /// Sends the changes since `base` to every neighbour except the one that they came from.
     pub(super) fn propagate(&mut self, base: Revision, from: Option<&DaemonName>) {
         let neighbours = self.neighbours();
         if neighbours.is_empty() {
@@ -57,7 +58,7 @@
         self.sync.digest
     }
 
-    /// Asks a neighbour that knows more.
+    /// Requests the fleet from a neighbour that knows a higher revision.
     pub(super) fn compare_revision(&mut self, from: &DaemonName, revision: Revision) {
         self.revision_seen(revision);
         let (known, _) = self.known_document();
--- a/crates/borageswitch_control/src/reducer/session.rs
+++ b/crates/borageswitch_control/src/reducer/session.rs
@@ -1,13 +1,13 @@
-//! The daemon's place in the store: a member key that lasts, and a live key under a lease.
+//! The daemon's registration in the store: a persistent member key, and a live key under a lease.
 //!
-//! The member key stays when a daemon crashes, so that every later planner knows of requests that
-//! the daemon may still have in flight. The live key ends with the lease. While the lease is
-//! valid on the daemon's own clock, less a margin, the store's live key stands, and no planner
-//! counts the daemon as gone.
+//! The member key outlasts a crash, so that every later planner knows that the daemon may still
+//! have requests in flight. The live key is deleted with the lease. While the lease is valid by the
+//! daemon's own clock, less a margin, the live key exists in the store, and no planner treats the
+//! daemon as gone.
 //!
-//! The member key is written anew at each registration, after the live key. So a member key that
-//! has not changed between two lists without the live key proves that the daemon was not
-//! registered in between, however far apart the lists are.
+//! Each registration rewrites the member key after the live key. A member key that is unchanged
+//! between two lists without the live key therefore proves that the daemon did not register in
+//! between, however far apart the lists are.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,19 +21,20 @@
     store::{LeaseId, StoreError, StoreRequest, StoreResponse, Version},
 };
 
-/// A lease is kept alive after this part of its time.
+/// A lease is renewed after its time to live divided by this.
 const KEEP_ALIVE_DIVISOR: u32 = 3;
-/// Nothing rests on the last part of a lease: the store's clock may run faster.
+/// The last part of a lease, its time to live divided by this, is not relied on, since the store's
+/// clock may run faster.
 const MARGIN_DIVISOR: u32 = 4;
 const RETRY_BASE: Duration = Duration::from_millis(250);
 
-/// A call on behalf of the session.
+/// A store call of the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     Grant,
     WriteLive,
     WriteMember,
-    /// Finds the version of a member key that is there already.
+    /// Reads the version of a member key that already exists.
     ReadMember,
     KeepAlive,
 }
@@ -47,31 +48,31 @@
     KeepingAlive,
 }
 
-/// The daemon's lease and how far its registration has come.
+/// The daemon's lease and the progress of its registration.
 #[derive(Debug, Default)]
 pub(super) struct Session {
     stage: Stage,
     lease: Option<LeaseId>,
     valid_until: Time,
     registered_at: Time,
-    /// Whether the document was read from the store after the registration.
+    /// Whether the document was read from the store after registering.
     ///
-    /// A leave may have been accepted before a planner could see this daemon as a member. The
-    /// read after the registration shows it; without it the daemon could send work to a host
-    /// that is about to reboot.
+    /// A leave may have been accepted before any planner saw this daemon as a member. The read
+    /// after registering reveals it; otherwise the daemon could send work to a host that is about
+    /// to reboot.
     caught_up: bool,
     next_try: Time,
     backoff: Backoff,
 }
 
 impl Session {
-    /// The lease, if the daemon is registered and nothing has said that it ended.
+    /// The lease, if the daemon is registered and the lease is not known to have ended.
     pub(super) fn lease(&self) -> Option<LeaseId> {
         let held = matches!(self.stage, Stage::Held | Stage::KeepingAlive);
         self.lease.filter(|_| held)
     }
 
-    /// Until when the store surely keeps the lease; in the past while none is held.
+    /// Until when the store certainly keeps the lease; [`Time::ZERO`] while none is held.
     pub(super) fn valid_until(&self) -> Time {
         if self.lease().is_some() { self.valid_until } else { Time::ZERO }
     }
@@ -152,7 +153,7 @@
             }
             (Step::KeepAlive, Err(_)) => {
                 self.session.stage = Stage::Held;
-                // One call a second is little, and a lease kept late is better than one lost.
+                // One call a second is cheap, and a late renewal is better than a lost lease.
                 let wait = self.session.backoff.next_delay(RETRY_BASE, &mut self.rng);
                 self.session.next_try = self.now + wait.min(self.cfg.duty_ttl / 6);
             }
@@ -196,7 +197,7 @@
         self.list_members();
     }
 
-    /// The lease has ended, or cannot be told from one that has: all duties end with it.
+    /// Gives up the lease, which has ended or may have ended, and all duties with it.
     fn session_lost(&mut self) {
         if let Some(lease) = self.session.lease.take() {
             let request = StoreRequest::RevokeLease { lease };
@@ -209,7 +210,7 @@
         self.lose_duties("the daemon's lease in the store has ended");
     }
 
-    /// Takes the daemon out of the store: nothing of it is in flight any more.
+    /// Removes the daemon from the store once none of its requests is in flight.
     pub(super) fn unregister(&mut self) {
         let timeout = self.cfg.store_timeout;
         if let Some(version) = self.members.own_version {
--- a/crates/borageswitch_control/src/reducer/store_calls.rs
+++ b/crates/borageswitch_control/src/reducer/store_calls.rs
@@ -1,8 +1,8 @@
-//! Calls to the store: numbered, bounded in time and number, and counted by purpose.
+//! Tracks calls to the store: limits their rate, times them out and counts them by purpose.
 //!
-//! The store takes several hundred writes and two thousand reads a second for everything that
-//! runs on the platform. A daemon that retried without bound during an outage would be part of
-//! the crowd that keeps the store down; the budget and the jittered backoff prevent it.
+//! The store handles several hundred writes and two thousand reads a second for the whole platform.
+//! Daemons that retried without limit during an outage would help to keep the store overloaded; the
+//! budget and the jittered backoff prevent this.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,18 +18,19 @@
     store::{CallId, StoreError, StoreRequest, StoreResponse},
 };
 
-/// Calls a second that one daemon may make, those for its own lease not counted. Nine daemons
-/// together stay under 400 a second in the worst case.
+/// Calls a second that one daemon may make, except those for its own lease. Nine daemons together
+/// stay under 400 a second in the worst case.
 const BUDGET_RATE: u64 = 40;
-/// Calls that may be made at once after a quiet time.
+/// Burst size of the budget.
 const BUDGET_BURST: u64 = 80;
 const MICROS_PER_CALL: u64 = 1_000_000 / BUDGET_RATE;
-/// The longest wait between two tries.
+/// Maximum delay between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// After this many timeouts without any event a call counts as lost, whatever the edge does.
+/// A call without any event counts as lost after this many timeouts, even if the I/O layer never
+/// reports it.
 const OVERDUE_TIMEOUTS: u32 = 2;
 
-/// Why a call to the store was made.
+/// The purpose of a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     ReadFleet,
@@ -42,12 +43,12 @@
     DeleteMember(DaemonName),
     Duty(Duty, duties::Step),
     Claims(u8, claims::Step),
-    /// Nobody waits for the answer.
+    /// Releases keys or leases; the response is ignored.
     Cleanup,
 }
 
 impl Purpose {
-    /// The name under which calls are counted.
+    /// The metric label under which calls are counted.
     fn name(&self) -> &'static str {
         match self {
             Purpose::ReadFleet => "read_fleet",
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether the call is made whatever the budget says: without its lease a daemon stops.
+    /// Whether the call is exempt from the budget: without its lease a daemon stops serving.
     fn bypasses_budget(&self) -> bool {
         matches!(self, Purpose::Session(_) | Purpose::Cleanup)
     }
@@ -81,12 +82,12 @@
     open: BTreeMap<CallId, OpenCall>,
     counts: BTreeMap<&'static str, u64>,
     over_budget: Vec<CallId>,
-    /// The time at which the budget is full again; a call moves it forward.
+    /// The time at which the budget is full again; each call moves it forward.
     spent_until: Time,
 }
 
 impl StoreCalls {
-    /// How many calls were made, by purpose.
+    /// Number of calls made, by purpose.
     pub(super) fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Waits between tries that fail, doubled each time and jittered so that daemons spread out.
+/// Exponential backoff with jitter, so that the retries of several daemons spread out.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
@@ -150,7 +151,7 @@
         call
     }
 
-    /// Ends the calls that were over the budget, and those that the edge has forgotten.
+    /// Fails the calls that exceeded the budget, and those that the I/O layer never reported.
     pub(super) fn store_calls_tick(&mut self) {
         for call in std::mem::take(&mut self.store_calls.over_budget) {
             self.store_responded(call, Err(StoreError::NotSent));
--- a/crates/borageswitch_control/src/reducer/tree.rs
+++ b/crates/borageswitch_control/src/reducer/tree.rs
@@ -1,12 +1,14 @@
-//! Heartbeats along a tree: daemons to the relay of their data centre, relays to the planner.
+//! Exchanges heartbeats along a tree: from daemons to their data centre's relay, and from relays to
+//! the planner.
 //!
-//! Nine daemons that all spoke to each other would cost each sixteen messages a beat; in the tree a
-//! daemon has one parent, and only relays and the planner have more neighbours. Each heartbeat
-//! passes on what was heard of others, with its age, so everyone hears of everyone. While no
-//! holder of a duty is heard, the lowest name stands in, so the tree needs no store.
+//! A full mesh of nine daemons would cost each of them sixteen messages per heartbeat. In the tree
+//! a daemon has one parent, and only relays and the planner have more neighbours. Each heartbeat
+//! forwards the state of other daemons with its age, so that every daemon learns about all others.
+//! While no holder of a duty is known, the daemon with the lowest name takes its place, so the tree
+//! works without the store.
 //!
-//! An age counts from the echo: a heartbeat repeats the newest sending time that its sender has
-//! had from the receiver, and what it says was true at that time or later.
+//! Ages count from the echo: a heartbeat repeats the latest send time that its sender has received
+//! from the receiver, and its content was true at that time or later.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -22,35 +24,36 @@
 
 use crate::{effect::Effect, reducer::State};
 
-/// What has changed is passed on at once, but not more often than this.
+/// Minimum time between heartbeats that report changes.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A child that sent no heartbeat for this many beats is no longer answered.
+/// A daemon that sent nothing for this many heartbeat intervals is no longer a child.
 const CHILD_TIMEOUT_HEARTBEATS: u32 = 3;
-/// Every so many beats a silent member is tried, so that a healed partition is noticed.
+/// A silent member is probed once in this many heartbeats, to detect a healed partition.
 const PROBE_INTERVAL_HEARTBEATS: u64 = 4;
 
-/// What was last heard of one daemon, directly or through others.
+/// The last contact with one daemon, directly or through others.
 #[derive(Clone, Debug)]
 pub(super) struct PeerContact {
-    /// It lived at this time or later.
+    /// The daemon was alive at this time or later.
     pub(super) at: Time,
     pub(super) revision: Revision,
     pub(super) progress: Progress,
     pub(super) duties: Vec<Duty>,
-    /// For each leaving host the epoch for which it reported nothing in flight, and since when
-    /// this daemon knows.
+    /// For each leaving host, the epoch for which the daemon reported nothing in flight, and when
+    /// that report arrived.
     pub(super) acks: BTreeMap<HostName, (u64, Time)>,
 }
 
-/// The neighbours in the tree and the rhythm of heartbeats.
+/// The neighbours in the tree and the heartbeat schedule.
 #[derive(Debug, Default)]
 pub(super) struct Tree {
     next_heartbeat: Time,
     last_heartbeat: Time,
-    /// Whether the next beat brings news to all neighbours, not to the parent alone.
+    /// Whether the next heartbeat reports changes and so goes to all neighbours, not only the
+    /// parent.
     has_changes: bool,
     heartbeats_sent: u64,
-    /// When each neighbour last sent, on our clock, and its own sending time, to be echoed.
+    /// The last heartbeat received from each neighbour.
     arrivals: BTreeMap<DaemonName, Arrival>,
     rosters: BTreeMap<DaemonName, u64>,
 }
@@ -76,7 +79,8 @@
         self.tree.heartbeats_sent += 1;
         self.tree.last_heartbeat = self.now;
         self.tree.next_heartbeat = self.now + self.cfg.heartbeat_interval;
-        // Children are answered when they send, so without news a beat is for the parent alone.
+        // Children get a response to each heartbeat, so without changes a heartbeat goes to the
+        // parent only.
         let has_changes = std::mem::take(&mut self.tree.has_changes);
         let receivers = match has_changes {
             true => self.neighbours(),
@@ -90,7 +94,7 @@
         }
     }
 
-    /// The parent, if any, and the children that sent lately.
+    /// The parent, if any, and the current children.
     pub(super) fn neighbours(&self) -> Vec<DaemonName> {
         let children = self.tree.arrivals.keys().filter(|daemon| self.is_child(daemon));
         let mut neighbours: Vec<DaemonName> = children.cloned().collect();
@@ -102,7 +106,7 @@
         neighbours
     }
 
-    /// Whether a daemon has lately taken this one for its parent.
+    /// Whether a daemon recently sent a heartbeat to this one as its parent.
     fn is_child(&self, daemon: &DaemonName) -> bool {
         let recent = self.cfg.heartbeat_interval * CHILD_TIMEOUT_HEARTBEATS;
         let arrival = self.tree.arrivals.get(daemon);
@@ -119,7 +123,7 @@
         (root != *self.me()).then_some(root)
     }
 
-    /// The holder of a duty, or the lowest name that may be alive to stand in for it.
+    /// The holder of a duty, or the daemon with the lowest name that may be alive in its place.
     fn duty_head(&self, duty: &Duty, within: Option<&DataCentreName>) -> DaemonName {
         if self.duties.fence(duty).is_some() {
             return self.me().clone();
@@ -133,7 +137,7 @@
         others.map(|(daemon, _)| daemon).chain([self.me()]).min().unwrap_or(self.me()).clone()
     }
 
-    /// A known member that is not heard, another one each time.
+    /// The next silent member to probe, in rotation, if one is due.
     fn silent_member(&self) -> Option<DaemonName> {
         if !self.tree.heartbeats_sent.is_multiple_of(PROBE_INTERVAL_HEARTBEATS) {
             return None;
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Whether an answer is wanted: the receiver is the parent, or a silent member that is tried.
+    /// Whether a response is wanted: the receiver is the parent or a silent member being probed.
     fn wants_response(&self, to: &DaemonName) -> bool {
         self.parent().as_ref() == Some(to) || !self.is_child(to)
     }
@@ -215,7 +219,7 @@
             }
         }
         if arrival.is_child && !is_parent {
-            // An answer at once keeps the ages along the tree short.
+            // Responding at once keeps the ages along the tree short.
             self.send_heartbeat(from);
         }
         self.compare_revision(from, revision);
--- a/crates/borageswitch_control/src/reducer/views.rs
+++ b/crates/borageswitch_control/src/reducer/views.rs
@@ -1,4 +1,4 @@
-//! Makes the traffic threads' view from the fleet document.
+//! Derives the traffic threads' view from the fleet document.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 
 use crate::{effect::Effect, reducer::State};
 
-/// When a caller that was not admitted may come back.
+/// How long a caller that was not admitted should wait before it retries.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl State {
@@ -22,7 +22,7 @@
         self.effects.push(Effect::PublishView(Arc::new(view)));
     }
 
-    /// Deals the targets' slots anew when the set of serving daemons has changed.
+    /// Reallocates the targets' slots when the set of serving daemons has changed.
     pub(super) fn refresh_entries(&mut self) {
         let silence = self.cfg.silence_timeout;
         let contacts = self.members.contacts.iter();
--- a/crates/borageswitch_control/src/reducer/writing.rs
+++ b/crates/borageswitch_control/src/reducer/writing.rs
@@ -1,8 +1,8 @@
-//! Turns changes into compare-and-swaps of the fleet document.
+//! Writes changes to the fleet document by compare-and-swap.
 //!
-//! One write is in flight at a time, and takes several waiting changes along. A write whose answer
-//! was lost may have taken effect, now or later: the document is read again and asked for the
-//! operation ids before anything else is done.
+//! One write is in flight at a time, and combines several queued changes. A write whose response
+//! was lost may have taken effect or may still do so: the document is read again, and its operation
+//! ids show which changes it contains, before anything else is written.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -22,16 +22,17 @@
     store::{StoreError, StoreRequest, StoreResponse},
 };
 
-/// How long an operator's change is tried before the answer is that it is undecided, in
-/// multiples of the store's timeout.
+/// How long an operator's change is retried before it is reported as undecided, in multiples of the
+/// store timeout.
 const CHANGE_TIMEOUTS: u32 = 5;
-/// The most changes in one write; more would let one refusal hold up many operators.
+/// Maximum number of changes in one write; with more, one rejected write would delay many
+/// operators.
 const MAX_BATCH: usize = 16;
-/// The most changes that wait: the rest are told at once that they were not tried.
+/// Maximum number of queued changes; further ones are rejected at once without being tried.
 const MAX_QUEUE: usize = 256;
 const RETRY_BASE: Duration = Duration::from_millis(50);
 
-/// Who waits for a change.
+/// The origin of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     Operator(OperatorCallId),
@@ -45,20 +46,20 @@
     until: Time,
 }
 
-/// A write in flight: the document that it would make, and the answers of the first changes in
-/// the queue should it take effect.
+/// A write in flight: the resulting document, and the responses to the first changes in the queue
+/// if it takes effect.
 #[derive(Debug)]
 struct Batch {
     next: Fleet,
     responses: Vec<OperatorAnswer>,
 }
 
-/// The changes that wait and the write in flight.
+/// The queued changes and the write in flight.
 #[derive(Debug, Default)]
 pub(super) struct Writer {
     queue: VecDeque<Pending>,
     writing: Option<Batch>,
-    /// Nothing is written before the document is read by a call made at this time or later.
+    /// If set, nothing is written until the document was read by a call made at this time or later.
     read_needed: Option<Time>,
     next_try: Time,
     backoff: Backoff,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A holder that no longer holds its duty lets nothing out, waiting changes included.
+    /// Discards the planner's queued changes once this daemon no longer holds the planner duty.
     fn drop_planner_changes(&mut self) {
         if !self.may_act(&Duty::Planner) {
             self.writer.queue.retain(|pending| pending.origin != Origin::Planner);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The document was read by a call made at `asked`.
+    /// Continues writing after the document was read by a call made at `sent_at`.
     pub(super) fn writer_read(&mut self, sent_at: Time) {
         if self.writer.read_needed.is_some_and(|needed| sent_at >= needed) {
             self.writer.read_needed = None;
--- a/crates/borageswitch_control/src/store.rs
+++ b/crates/borageswitch_control/src/store.rs
@@ -1,8 +1,8 @@
-//! Calls to the platform's key-value service and what may come of them.
+//! Requests to the platform's key-value store, with their responses and errors.
 
 use std::{sync::Arc, time::Duration};
 
-/// Numbers the calls of one daemon, so that an answer finds its question.
+/// Identifies a store call of one daemon, so that its response can be matched to it.
 #[derive(
     Clone,
     Copy,
@@ -18,7 +18,7 @@
 )]
 pub struct CallId(pub u64);
 
-/// The version of a key's value; the store gives each write a higher one than all before.
+/// The version of a key's value; each write gets a higher version than all earlier writes.
 #[derive(
     Clone,
     Copy,
@@ -35,17 +35,17 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// Expected by a write that creates its key.
+    /// The expected version of a write that creates its key.
     pub const ABSENT: Version = Version(0);
 }
 
-/// A lease that the store has granted.
+/// Identifies a lease granted by the store.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, derive_more::Display,
 )]
 pub struct LeaseId(pub u64);
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
     /// Reads a key.
@@ -62,11 +62,11 @@
     CompareAndSwap {
         /// The key.
         key: Arc<str>,
-        /// The version that the writer has seen, [`Version::ABSENT`] to create the key.
+        /// The version that the writer has seen; [`Version::ABSENT`] to create the key.
         expected: Version,
         /// The new value.
         value: Arc<[u8]>,
-        /// The lease with which the key ends.
+        /// The lease that the key is attached to, if any; the key is deleted when it ends.
         lease: Option<LeaseId>,
     },
     /// Deletes a key if its version is still the expected one.
@@ -80,22 +80,22 @@
     Watch {
         /// The key.
         key: Arc<str>,
-        /// The version that the watcher has.
+        /// The version known to the watcher.
         after: Version,
-        /// How long the store holds the call before it answers that nothing has changed.
+        /// How long the store holds the request before it reports that nothing has changed.
         wait: Duration,
     },
-    /// Asks for a lease.
+    /// Requests a new lease.
     GrantLease {
-        /// How long it lasts without being kept alive.
+        /// Time to live of the lease unless it is renewed.
         ttl: Duration,
     },
-    /// Keeps a lease alive for its whole time again.
+    /// Renews a lease for its full time to live.
     KeepAlive {
         /// The lease.
         lease: LeaseId,
     },
-    /// Gives a lease back; its keys end.
+    /// Revokes a lease, which deletes its keys.
     RevokeLease {
         /// The lease.
         lease: LeaseId,
@@ -113,43 +113,43 @@
     pub value: Arc<[u8]>,
 }
 
-/// What the store answered.
+/// A response of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// To a read or watch; nothing if the key does not exist, or did not change.
+    /// To a read or watch: the value, or `None` if the key does not exist or did not change.
     Value(Option<KeyValue>),
-    /// To a list.
+    /// To a list: the keys with their values.
     Values(Vec<KeyValue>),
     /// To a write: it took effect.
     Written {
         /// The value's new version.
         version: Version,
     },
-    /// To a write: the version was another one, and nothing was changed.
+    /// To a write: the version was not the expected one, and nothing was changed.
     Conflict,
-    /// To a lease call: the lease lasts.
+    /// To a lease call: the lease is granted or renewed.
     Lease {
         /// The lease.
         lease: LeaseId,
-        /// For how long, from when the call was sent.
+        /// Its time to live, counted from when the request was sent.
         ttl: Duration,
     },
     /// To a lease call, or a write under a lease: the lease has ended.
     LeaseLost,
-    /// To a delete or revoke.
+    /// To a delete or revoke: it is done.
     Done,
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum StoreError {
     /// The call was not sent: it had no effect.
     #[display("the store cannot be reached")]
     NotSent,
-    /// The call was sent and not answered in time: a write may have taken effect.
+    /// No response arrived in time: a write may have taken effect.
     #[display("the store's answer was lost")]
     AnswerLost,
-    /// The store refused the call as such: it had no effect.
+    /// The store rejected the call as invalid: it had no effect.
     #[display("the store refused the call")]
     Refused,
 }
--- a/crates/borageswitch_control/tests/golden.rs
+++ b/crates/borageswitch_control/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of a region, kept as golden files: every decision with its time and reason.
+//! Snapshot tests of whole sessions of a region: every decision with its time and reason.
 
 mod support;
 
@@ -35,7 +35,7 @@
     world.daemons.keys().find(holds).expect("a daemon plans").clone()
 }
 
-/// What was decided, in tenths of a second, and what operators were answered.
+/// The decisions, with times in tenths of a second, and the responses to operators.
 fn session(world: &World) -> String {
     let decisions = world.decisions.iter();
     let decisions =
@@ -46,8 +46,8 @@
     decisions.chain(responses).collect::<Vec<_>>().join("\n")
 }
 
-/// The store goes away for everyone in the middle of a wave. Callers notice nothing, since all
-/// serve on by majority; the wave waits and goes on when the store is back.
+/// The store becomes unavailable to all daemons during a wave. They must keep serving by majority,
+/// and the wave must continue once the store is back.
 #[test]
 fn a_store_outage_in_the_middle_of_a_wave() {
     let mut world = region();
@@ -63,8 +63,8 @@
     insta::assert_snapshot!(session(&world));
 }
 
-/// The planner's process is paused past its lease. Another daemon takes over within ten seconds,
-/// and what the first one sends when it wakes up has no effect.
+/// The planner's process is paused for longer than its lease. Another daemon must take over within
+/// ten seconds, and the first one's effects after it resumes must be ignored.
 #[test]
 fn a_paused_holder_is_replaced() {
     let mut world = region();
@@ -88,8 +88,9 @@
     holders.next().expect("another daemon plans by now").0.clone()
 }
 
-/// Two operators change the same host through two daemons at the same moment. One gets it, the
-/// other is told why not; a third who repeats the first operation gets the same revision.
+/// Two operators change the same host through two daemons at the same time. One change must be
+/// accepted and the other refused with a reason; repeating the accepted operation must return the
+/// same revision.
 #[test]
 fn racing_operators() {
     let mut world = region();
@@ -112,8 +113,9 @@
     insta::assert_snapshot!(session(&world));
 }
 
-/// The store writes a claim and its answer is lost. The request runs once: the entry reads the
-/// claim back and knows its own nonce, and a resend through another entry is refused.
+/// The store writes a claim but its response is lost. The entry must read the claim back and
+/// recognise its own nonce, and a retry through another entry must be refused, so that the request
+/// runs once.
 #[test]
 fn a_lost_answer_after_a_claim() {
     let mut world = region();
--- a/crates/borageswitch_control/tests/guards.rs
+++ b/crates/borageswitch_control/tests/guards.rs
@@ -1,6 +1,6 @@
-//! Removing one guard makes a named seed fail, so the checks of the randomised runs can fail.
+//! Verifies that the simulation's checks detect faults: with one guard off, a known seed must fail.
 //!
-//! `BORAGESWITCH_SEARCH=200` looks for the first seeds that fail without each guard.
+//! `BORAGESWITCH_SEARCH=200` searches for the first seeds that fail without each guard.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 use crate::support::{faults::Faults, run, world::World};
 
-/// What a run without a guard ends with, or nothing if no check noticed.
+/// The panic message of a run without a guard, or `None` if no check failed.
 fn failure_of_seed(seed: u64, guards: Guards) -> Option<String> {
     panic_message(|| {
         run(seed, guards);
@@ -28,8 +28,8 @@
     text.or_else(|| payload.downcast_ref::<&str>().map(ToString::to_string))
 }
 
-/// Asserts that some of the named seeds are caught for the expected reason, and that all of them
-/// pass with every guard on.
+/// Asserts that at least one of the seeds fails for the expected reason, and that all pass with
+/// every guard on.
 fn assert_caught(seeds: &[u64], guards: Guards, expected: &str) {
     let found = seeds.iter().filter_map(|seed| Some((seed, failure_of_seed(*seed, guards)?)));
     let found: Vec<_> = found.collect();
@@ -41,38 +41,38 @@
     }
 }
 
-/// A holder is paused, its lease ends, another daemon takes over. Without the check of its own
-/// clock the first one wakes up and commands hosts as if nothing had happened.
+/// A paused holder loses its lease and another daemon takes over. Without the lease check by its
+/// own clock, the first holder would still send commands to hosts when it resumes.
 #[test]
 fn without_fencing_a_paused_holder_commands() {
     let guards = Guards { fencing: false, ..Guards::default() };
     assert_caught(&[0, 1], guards, "while the duty is with");
 }
 
-/// A host leaves and the planner itself has nothing in flight there. Without the wait for the
-/// others the host reboots under their requests, whose callers see answers break off.
+/// A host leaves and the planner itself has nothing in flight there. Without waiting for the other
+/// daemons' confirmations, the reboot would cut their requests.
 #[test]
 fn without_acknowledgements_a_reboot_cuts_requests() {
     let guards = Guards { acknowledgements: false, ..Guards::default() };
     assert_caught(&[0, 2], guards, "in flight");
 }
 
-/// The store's answer to a claim is lost. Without the read-back a daemon takes the claim for its
-/// own while another one has it: a payroll run runs twice.
+/// The store's response to a claim is lost. Without the read-back a daemon would assume that it
+/// holds a claim that another one has, and the request would run twice.
 #[test]
 fn without_the_read_back_a_request_is_granted_twice() {
     let guards = Guards { claim_read_back: false, ..Guards::default() };
     assert_caught(&[0, 1], guards, "is granted to");
 }
 
-/// A message that was sent early arrives late. Without the check an old document comes back.
+/// A peer message arrives late. Without the check it would restore an old document.
 #[test]
 fn without_adopting_only_higher_a_document_comes_back() {
     let guards = Guards { adopt_only_higher: false, ..Guards::default() };
     assert_caught(&[3, 20, 31, 39], guards, "go back from revision");
 }
 
-/// One daemon is cut off from the store and from its peers while a wave goes over every host.
+/// Cuts one daemon off from the store and from its peers during a wave over all hosts.
 fn run_with_a_lost_daemon(guards: Guards) {
     let mut world = World::new(7, 5, Faults::none(), guards);
     world.run_until(Duration::from_secs(3));
@@ -87,16 +87,16 @@
     assert_eq!(world.checker.reboots, 12, "the wave goes on without the lost daemon");
 }
 
-/// A daemon is cut off and the others go on without it. Without a permission that ends by itself
-/// it sends work to hosts that are out, and its callers see their requests fail.
+/// A daemon is cut off while the others continue a wave. Without a permission that expires on its
+/// own it would send work to hosts that are out of service.
 #[test]
 fn without_the_self_fence_a_lost_daemon_sends_work() {
     let guards = Guards { self_fence: false, ..Guards::default() };
 
     let found = panic_message(|| run_with_a_lost_daemon(guards)).expect("the run is caught");
 
-    // Which comes first depends on when the host reboots: a request that the lost daemon sent
-    // before is cut by it, or one that it sends afterwards meets a host that is out.
+    // The order depends on when the host reboots: either the reboot cuts an earlier request of the
+    // lost daemon, or a later request goes to a host that is out of service.
     let effects = ["entry-04 sends new work", "requests of [entry-04] in flight"];
     let is_lost_daemons = effects.iter().any(|effect| found.contains(effect));
     assert!(is_lost_daemons, "caught for another reason: {found}");
--- a/crates/borageswitch_control/tests/lost_lists.rs
+++ b/crates/borageswitch_control/tests/lost_lists.rs
@@ -1,4 +1,4 @@
-//! A wave beside a daemon that is gone, while most lists of members are lost, in virtual time.
+//! A wave after a daemon has crashed, while most member lists are lost, in virtual time.
 
 mod support;
 
@@ -9,13 +9,13 @@
 
 use crate::support::{faults::Faults, world::World};
 
-/// The most that the wave may take: once the silence, the lease and the longest deadline of the
-/// crashed daemon, and some seconds for the hosts.
+/// Upper bound on the duration of the wave: one silence timeout, one lease and one longest deadline
+/// of the crashed daemon, and some seconds for the hosts.
 const LIMIT: Duration = Duration::from_secs(60);
 
-/// A daemon crashes and a wave waits for what it may have had in flight. On a busy machine most
-/// answers of the store come too late, and two lists that are answered lie half a lease apart.
-/// Operators would see the wait begin anew with each list, and the wave would hardly go on.
+/// A wave waits for the requests that a crashed daemon may have had in flight. On a busy machine
+/// most store responses arrive too late, and successful lists are half a lease apart. The wait must
+/// not restart with each list, or the wave would hardly progress.
 #[test]
 fn lost_lists_do_not_hold_a_wave_back() {
     let mut world = World::new(11, 5, Faults::none(), Guards::default());
--- a/crates/borageswitch_control/tests/randomised.rs
+++ b/crates/borageswitch_control/tests/randomised.rs
@@ -1,6 +1,6 @@
-//! Randomised runs of three to nine daemons in virtual time.
+//! Randomised simulations of three to nine daemons in virtual time.
 //!
-//! `BORAGESWITCH_SEEDS=100000` runs that many seeds; `BORAGESWITCH_SEED=7` runs one again.
+//! `BORAGESWITCH_SEEDS=100000` runs that many seeds; `BORAGESWITCH_SEED=7` runs a single seed.
 
 mod support;
 
@@ -13,15 +13,15 @@
 
 const SEEDS: u64 = 150;
 const RELEASE_SEEDS: u64 = 40;
-/// Seeds are shared among so many threads; each run is one thread's work.
+/// Number of threads that the seeds are divided among.
 const THREADS: usize = 3;
-/// Seeds that have shown a fault: 210, a daemon that the planner had forgotten while it was paused
-/// registered again and was not asked for its confirmation.
+/// Seeds that have failed before. 210: a paused daemon that the planner had removed registered
+/// again, and its confirmation was not required.
 const REGRESSION_SEEDS: [u64; 1] = [210];
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
 const RECOVERY_STEPS: usize = 50;
 
-/// What is not as it should be long after the last fault, if anything.
+/// Describes a daemon that has not recovered after the last fault, if there is one.
 fn unrecovered(world: &World) -> Option<String> {
     let truth = world.checker.stored_fleet.as_ref()?;
     for (daemon, fake) in &world.daemons {
@@ -51,10 +51,10 @@
     }
 }
 
-/// Daemons are paused, cut off, split, crashed and replaced while operators race each other and
-/// the store loses answers. A user would notice a broken promise as a request cut by a reboot, a
-/// doubled payroll run or a configuration that comes back. Once the faults end, every daemon has
-/// the store's document again and takes work.
+/// Guards against requests cut by a reboot, requests that run twice and documents that revert,
+/// while daemons are paused, partitioned, crashed and replaced, operators send concurrent changes
+/// and the store loses responses. Once the faults end, every daemon must have the store's document
+/// and take work.
 #[test]
 fn no_promise_breaks_and_all_recovers() {
     let seeds = seeds(SEEDS);
@@ -71,7 +71,7 @@
     assert!(totals.iter().all(|total| *total > 0), "the runs must exercise what they check");
 }
 
-/// Runs seeds one after the other, and counts reboots, granted claims and requests.
+/// Runs seeds one after another and counts reboots, granted claims and requests.
 fn run_seeds(seeds: &[u64]) -> [u64; 3] {
     let mut totals = [0; 3];
     for seed in seeds {
@@ -89,9 +89,9 @@
     totals
 }
 
-/// Granted requests are not sent, their claims are given back, some twice and some never, and their
-/// callers send them again through any daemon, under every kind of fault. A clerk would notice a
-/// broken promise as a payroll that runs twice, or as one that can not run at all.
+/// Guards against released claims that let a request run twice or block it for good. Claims of
+/// unsent requests are released, some twice and some never, and their callers retry through any
+/// daemon, under every kind of fault.
 #[test]
 fn a_claim_that_is_given_back_is_granted_once_more() {
     let seeds = seeds(RELEASE_SEEDS);
@@ -116,8 +116,8 @@
     assert!(again * 2 > releases, "{again} of {releases} released requests were granted again");
 }
 
-/// Two hundred payrolls are refused at seven daemons on a quiet site, and each clerk comes back after
-/// the shortest time that callers are told, through another daemon. All are granted once more.
+/// Without faults, 200 requests at seven daemons are released and retried through another daemon
+/// after the shortest retry delay reported to callers. All must be granted again.
 #[test]
 fn who_comes_back_when_told_finds_the_id_free() {
     let mut world = World::new(11, 7, Faults::none(), Guards::default());
--- a/crates/borageswitch_control/tests/support/checker.rs
+++ b/crates/borageswitch_control/tests/support/checker.rs
@@ -1,4 +1,4 @@
-//! What no run may break, judged from outside the daemons.
+//! Invariants of every simulation, checked from outside the daemons.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
     names::{DaemonName, HostName, OperationId, ServiceName},
 };
 
-/// The truth of the store's document and what was seen of it.
+/// The stored document and the history that the invariants are checked against.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub stored_fleet: Option<Fleet>,
@@ -21,14 +21,14 @@
     pub outcomes: Vec<(u64, DaemonName, ClaimOutcome)>,
     pub grants: u64,
     pub releases: u64,
-    /// Grants of an id whose claim was given back before.
+    /// Grants of an id whose claim was released before.
     pub grants_after_release: u64,
     pub reboots: u64,
     pub requests: u64,
 }
 
 impl Checker {
-    /// A new value of the fleet document took effect in the store.
+    /// Checks a new value of the fleet document that was written to the store.
     pub fn committed(&mut self, bytes: &[u8]) {
         let fleet: Fleet = serde_json::from_slice(bytes).expect("the document can be read");
         let before =
@@ -52,7 +52,7 @@
         assert!(revision >= before, "{daemon} went back from {before} to {revision}");
     }
 
-    /// A request goes to a host for a service.
+    /// Checks a request that is sent to a host for a service.
     pub fn request_started(&mut self, daemon: &DaemonName, host: &HostName, service: &ServiceName) {
         self.requests += 1;
         let stored_fleet = self.stored_fleet.as_ref().expect("requests follow the first document");
@@ -68,7 +68,7 @@
         assert!(in_flight.is_empty(), "{host} reboots with requests of {in_flight:?} in flight");
     }
 
-    /// A command leaves a daemon while the store says who holds the planner's duty.
+    /// Checks that a daemon that sends a command is the planner according to the store.
     pub fn commanded(&mut self, now: Time, daemon: &DaemonName, holder: Option<&str>) {
         let is_holder = holder == Some(daemon.as_str());
         assert!(is_holder, "{daemon} commands at {now:?} while the duty is with {holder:?}");
@@ -91,15 +91,15 @@
         assert!(before.is_none(), "request {id} is granted to {before:?} and {daemon}");
     }
 
-    /// Who was granted a request, unless the claim was given back since.
+    /// The daemon and ticket that a request was granted to, unless the claim was released since.
     pub fn holder(&self, id: u64) -> Option<(DaemonName, ClaimTicket)> {
         self.granted.get(&id).cloned()
     }
 
-    /// A daemon gives a claim back under which it has sent nothing: from now on, and not before,
-    /// the request may be granted once more.
+    /// Records that a daemon releases a claim under which it has sent nothing: from now on, and not
+    /// before, the request may be granted again.
     ///
-    /// A release of what is not granted, or was given back already, permits nothing.
+    /// A release of a claim that is not granted or is already released permits nothing.
     pub fn claim_released(&mut self, id: u64, daemon: &DaemonName, ticket: ClaimTicket) {
         if self.granted.get(&id) == Some(&(daemon.clone(), ticket)) {
             self.releases += 1;
--- a/crates/borageswitch_control/tests/support/faults.rs
+++ b/crates/borageswitch_control/tests/support/faults.rs
@@ -1,19 +1,19 @@
-//! Which faults a run may have.
+//! Fault probabilities of a simulation.
 
 use std::time::Duration;
 
-/// Probabilities and times of faults; [`Faults::none`] is a quiet site.
+/// Probabilities and times of faults; [`Faults::none`] disables them.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Of a peer message.
     pub message_loss: f64,
     /// Of a peer message.
     pub message_duplicate: f64,
-    /// Of a store call: the answer is lost after it took effect.
+    /// Probability that the response to a store call is lost after the call took effect.
     pub lost_response: f64,
-    /// The mean time between two disturbances: pauses, cuts, outages, replacements.
+    /// Mean time between two faults of daemons: pauses, partitions, outages, replacements.
     pub fault_interval: Option<Duration>,
-    /// Disturbances and losses end here, so that the run can be seen to recover.
+    /// When faults and losses end, so that recovery can be checked.
     pub until: Duration,
 }
 
--- a/crates/borageswitch_control/tests/support/mod.rs
+++ b/crates/borageswitch_control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the randomised runs and the golden sessions, all in virtual time.
+//! Test doubles for the randomised simulations and the golden sessions, all in virtual time.
 
 #![allow(dead_code, unreachable_pub, reason = "each test program uses a part")]
 
@@ -23,7 +23,7 @@
 
 const RUN_TIME: Duration = Duration::from_secs(50);
 
-/// Tells which seed to run again when a check fails.
+/// Prints the seed to reproduce a failure when a check panics.
 struct PrintSeedOnPanic(u64);
 
 impl Drop for PrintSeedOnPanic {
@@ -37,7 +37,7 @@
     }
 }
 
-/// One randomised run of three to nine daemons with every kind of fault.
+/// Simulates three to nine daemons with every kind of fault.
 pub fn run(seed: u64, guards: Guards) -> World {
     let _print_seed = PrintSeedOnPanic(seed);
     let entries = 3 + (seed % 7) as u16;
@@ -46,7 +46,7 @@
     world
 }
 
-/// The same with requests that are granted, not sent, and sent again by their callers.
+/// Like [`run`], with granted requests that are not sent and are retried by their callers.
 pub fn run_with_releases(seed: u64, guards: Guards) -> World {
     let _print_seed = PrintSeedOnPanic(seed);
     let entries = 3 + (seed % 7) as u16;
@@ -60,7 +60,7 @@
 const HOSTS: usize = 12;
 const POOLS: [&str; 2] = ["office", "payroll"];
 
-/// A site with two pools of six hosts each over three data centres.
+/// A site with two pools of six hosts each in three data centres.
 pub fn site(entries: u16) -> SiteConfig {
     let hosts = (0..HOSTS).map(|i| (host_name(i), (host_spec(i), PoolName::from(POOLS[i % 2]))));
     let services = POOLS.iter().map(|pool| (ServiceName::from(*pool), service(pool)));
--- a/crates/borageswitch_control/tests/support/store.rs
+++ b/crates/borageswitch_control/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store in virtual time: keys, versions, leases and watches.
+//! A fake of the platform's store in virtual time: keys, versions, leases and watches.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,7 +12,7 @@
     lease: Option<LeaseId>,
 }
 
-/// The store's content.
+/// The keys and leases of the store.
 #[derive(Debug, Default)]
 pub struct FakeStore {
     keys: BTreeMap<Arc<str>, Entry>,
@@ -27,7 +27,7 @@
         self.last
     }
 
-    /// Ends the leases that were not kept alive, and their keys.
+    /// Removes the leases that were not renewed, and their keys.
     pub fn expire(&mut self, now: Time) {
         self.leases.retain(|_, until| *until > now);
         let leases = &self.leases;
@@ -42,7 +42,7 @@
         self.keys.get(key).map_or(Version::ABSENT, |entry| entry.version)
     }
 
-    /// Executes a call; a watch is answered as a read.
+    /// Executes a request; a watch is executed as a read.
     pub fn execute(&mut self, now: Time, request: &StoreRequest) -> StoreResponse {
         self.expire(now);
         match request {
--- a/crates/borageswitch_control/tests/support/traffic.rs
+++ b/crates/borageswitch_control/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic threads of one fake daemon: they send by the view they have and report.
+//! The simulated traffic threads of one daemon.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,7 +9,7 @@
     view::{TargetState, TrafficView},
 };
 
-/// Requests in flight and the view by which they were sent.
+/// The applied view and the requests in flight.
 #[derive(Debug, Default)]
 pub struct FakeTraffic {
     pub view: Option<Arc<TrafficView>>,
@@ -22,7 +22,7 @@
         self.in_flight.retain(|(_, end)| *end > now);
     }
 
-    /// A target that may get a request now, with its service.
+    /// Chooses a random target that may get a request now, with its service.
     pub fn choose(&self, now: Time, rng: &mut fastrand::Rng) -> Option<(HostName, ServiceName)> {
         let view = self.view.as_ref()?;
         if !view.admitting || now >= self.admit_until {
--- a/crates/borageswitch_control/tests/support/world/claims.rs
+++ b/crates/borageswitch_control/tests/support/world/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of callers' requests, and claims given back because the request was not sent.
+//! Claims of callers' requests, and releases of claims whose request was not sent.
 
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Half of the granted requests are not sent. Most of them give their claim back, some twice,
-    /// and their callers send them again. Some that were refused give back what they never had.
+    /// Half of the granted requests are not sent. Most of their claims are released, some twice,
+    /// and their callers retry. Some refused requests release a claim that they were never granted.
     pub(super) fn release_unsent(
         &mut self,
         daemon: &DaemonName,
@@ -74,7 +74,7 @@
         self.deliver(&daemon, Event::ReleaseClaim(ticket));
     }
 
-    /// The daemon that was granted a request gives its claim back.
+    /// Releases a claim at the daemon that it was granted to.
     pub fn release_granted(&mut self, id: u64) {
         if let Some((daemon, ticket)) = self.checker.holder(id) {
             self.at(Duration::ZERO, Action::ReleaseClaim(daemon, ticket, id));
--- a/crates/borageswitch_control/tests/support/world/hosts.rs
+++ b/crates/borageswitch_control/tests/support/world/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts: the requests that daemons send there, and agents that reboot them.
+//! Hosts: the requests in flight on them, and the agents that reboot them.
 
 use std::time::Duration;
 
--- a/crates/borageswitch_control/tests/support/world/mod.rs
+++ b/crates/borageswitch_control/tests/support/world/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons, store, hosts and network of one region in virtual time.
+//! Simulates the daemons, store, hosts and network of one region in virtual time.
 //!
-//! A queue in order of time holds all that is still to happen. The daemons are real reducers; what
-//! they ask for is carried out here and in the modules of the store, the network and the hosts.
+//! A queue ordered by time contains all pending actions. The daemons are real reducers; their
+//! effects are executed here and in the submodules for the store, the network and the hosts.
 
 mod claims;
 mod hosts;
@@ -41,7 +41,8 @@
 const TICK: Duration = Duration::from_millis(50);
 const FLEET_KEY: &str = "borageswitch/gauteng/fleet";
 const PLANNER_KEY: &str = "borageswitch/gauteng/duty/planner";
-/// Far above what a run needs: a daemon that answers each event with two would fill the memory.
+/// Limit on queued actions, far above what a run needs: a daemon that responds to each event with
+/// two would exhaust memory.
 const MAX_QUEUED: usize = 50_000;
 const WALL_START: u64 = 1_700_000_000_000;
 
@@ -65,7 +66,7 @@
     HealNetwork,
 }
 
-/// One daemon with its traffic threads.
+/// A daemon with its simulated traffic threads.
 pub struct FakeDaemon {
     pub state: State,
     pub member: Member,
@@ -82,7 +83,7 @@
     up_at: Time,
 }
 
-/// Everything of one region.
+/// The simulated region.
 pub struct World {
     pub now: Time,
     pub rng: fastrand::Rng,
@@ -105,22 +106,24 @@
     waves_started: u32,
     pub random_actions: bool,
     pub lose_next_append: bool,
-    /// Only one list of keys in so many is answered.
+    /// Only one in this many list calls gets a response.
     pub list_response_interval: u64,
     list_calls: u64,
-    /// Draws which granted requests are not sent and what becomes of their claims; nothing else
-    /// draws from it, so that runs without it keep their course.
+    /// Chooses which granted requests are not sent and whether their claims are released. It is
+    /// separate from `rng`, so that runs without it keep their random sequence.
     pub unsent_rng: Option<fastrand::Rng>,
     has_short_timeouts: bool,
 }
 
 impl World {
-    /// A region with `entries` daemons that have just started; operators apply the site at once.
+    /// Creates a region with `entries` daemons that have just started; an operator applies the site
+    /// at once.
     pub fn new(seed: u64, entries: u16, faults: Faults, guards: Guards) -> Self {
         Self::with_timing(seed, entries, faults, guards, true)
     }
 
-    /// The same with a daemon's usual times, or shorter ones that fit more into a run.
+    /// Like [`Self::new`], with either the default timeouts or shorter ones that fit more events
+    /// into a run.
     pub fn with_timing(
         seed: u64,
         entries: u16,
@@ -233,7 +236,7 @@
         daemon
     }
 
-    /// A daemon's host is gone: its connections break, its leases are left to lapse.
+    /// Crashes a daemon with its host: its connections break, and its leases are left to expire.
     pub fn crash(&mut self, daemon: &DaemonName) {
         self.daemons.remove(daemon);
         let ended = self.links.iter().filter(|(a, b)| a == daemon || b == daemon);
@@ -254,7 +257,7 @@
         self.at(time, Action::Wake(daemon.clone()));
     }
 
-    /// Runs until a time after the start.
+    /// Runs until `end` after the start.
     pub fn run_until(&mut self, end: Duration) {
         let end = Time::ZERO + end;
         while let Some(entry) = self.queue.first_entry()
@@ -350,7 +353,7 @@
                 }
             }
             Effect::DisconnectPeer { daemon: other } => {
-                // A peer that lives on dials again by itself.
+                // A peer that is still alive reconnects by itself.
                 self.links.remove(&network::link(daemon, &other));
                 let event = Event::PeerDown { daemon: daemon.clone() };
                 self.at(Duration::from_millis(5), Action::Deliver(other.clone(), event));
--- a/crates/borageswitch_control/tests/support/world/network.rs
+++ b/crates/borageswitch_control/tests/support/world/network.rs
@@ -1,4 +1,4 @@
-//! The network between daemons: links, splits, loss, copies and late messages.
+//! The network between daemons: links, partitions, and lost, duplicated and delayed messages.
 
 use std::time::Duration;
 
--- a/crates/borageswitch_control/tests/support/world/operators.rs
+++ b/crates/borageswitch_control/tests/support/world/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a daemon.
+//! Operators' requests to a daemon.
 
 use std::time::Duration;
 
--- a/crates/borageswitch_control/tests/support/world/random_actions.rs
+++ b/crates/borageswitch_control/tests/support/world/random_actions.rs
@@ -1,4 +1,4 @@
-//! What operators and failures do at random times.
+//! Random operations and random faults.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
             6 => FleetChange::MoveHost { host, to: "payroll".into() },
             _ => FleetChange::SetEntriesExpected { entries: self.entries },
         };
-        // The same operation through two daemons: an operator who tried the next endpoint.
+        // The same operation through two daemons is an operator who retried at the next endpoint.
         for _ in 0..self.rng.usize(1..=2) {
             let daemon = self.any_daemon();
             let call = self.last_sequence;
--- a/crates/borageswitch_control/tests/support/world/store_calls.rs
+++ b/crates/borageswitch_control/tests/support/world/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the store: slow ones, lost answers, watches, and daemons that do not reach it.
+//! Store calls: slow calls, lost responses, watches, and daemons that cannot reach the store.
 
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
                 true => self.store.execute(self.now, &request),
                 false => StoreResponse::Value(None),
             };
-            // A watch can go silent for good; the daemon's own timeout must end it.
+            // A watch may never get a response; the daemon's own timeout must end it.
             if !self.chance(0.1) {
                 let delay = self.millis(1, 4);
                 let event = Event::Store { call, outcome: Ok(response) };
--- a/crates/borageswitch_control/tests/timing.rs
+++ b/crates/borageswitch_control/tests/timing.rs
@@ -1,4 +1,4 @@
-//! How fast nine daemons agree, with a daemon's usual times, in virtual time.
+//! Measures how fast nine daemons agree, with the default timeouts, in virtual time.
 
 mod support;
 
@@ -27,7 +27,7 @@
     world.run_until(now + STEP);
 }
 
-/// Runs until a condition holds, and gives the time that it took.
+/// Runs until a condition holds and returns the time that it took.
 fn time_until<F>(world: &mut World, limit: Duration, holds: F) -> Duration
 where
     F: Fn(&World) -> bool,
@@ -49,8 +49,8 @@
     views.into_iter().all(|view| view.is_some_and(|view| view.revision >= revision))
 }
 
-/// An operator changes a quota at any daemon. Nine daemons send by it within a second, in 99 of
-/// 100 cases, and any of them can say so soon after.
+/// A quota change at any daemon must be applied by nine daemons within a second, in 99 of 100
+/// cases, and be confirmed at that daemon soon after.
 #[test]
 fn a_change_is_in_force_on_nine_daemons_within_a_second() {
     let mut world = nine_daemons(1);
@@ -93,7 +93,7 @@
     world.daemons.keys().find(holds).cloned()
 }
 
-/// The daemon that plans is gone at once, with its host. Another one plans within ten seconds.
+/// When the planner's host crashes, another daemon must take over within ten seconds.
 #[test]
 fn a_crashed_planner_is_replaced_within_ten_seconds() {
     let mut times = Vec::new();
--- a/crates/borageswitch_control/tests/waits.rs
+++ b/crates/borageswitch_control/tests/waits.rs
@@ -1,4 +1,4 @@
-//! What an operator who waits for a revision is told.
+//! The response to an operator who waits for a revision.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -27,7 +27,7 @@
     PeerMessage::Snapshot { fleet: Box::new(fleet), store_version: revision }
 }
 
-/// A heartbeat that answers what was sent at `now`, so that all it says is fresh.
+/// A heartbeat that echoes the send time `now`, so that its content has age zero.
 fn heartbeat(now: Time, applied: u64) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
         sent: now,
@@ -40,7 +40,8 @@
     })
 }
 
-/// Ticks until a time and gives the operator's answer if it comes, with its time.
+/// Ticks until the given time and returns the response to the operator with its time, if there is
+/// one.
 fn response_by(state: &mut State, from: Time, until: Time) -> Option<(Time, OperatorAnswer)> {
     let mut now = from;
     while now < until {
@@ -55,9 +56,9 @@
     None
 }
 
-/// A daemon is paused just before a change. Another daemon, which does not plan and so has not listed
-/// the leases, is asked whether the change is in force. The paused one may go on at any moment and
-/// serve by the old revision while its lease stands; it must be named, not passed over.
+/// A daemon is paused just before a change. An operator waits for the change at another daemon,
+/// which is not the planner and so has not listed the leases. The paused daemon may resume and
+/// serve by the old revision while its lease is valid, so it must count as lagging until then.
 #[test]
 fn a_silent_daemon_whose_lease_may_stand_lags() {
     let cfg = ControlConfig::new(member("d2"), "gauteng".into(), 1);
