--- a/crates/borageswitch_control/src/reducer/claims/chain.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain.rs
@@ -271,7 +271,7 @@
                 self.waiting.push_back(req);
                 continue;
             }
-            next.claims.push(entry(req.key, req.nonce, wall, req.window, Kind::Made));
+            next.claims.push(entry(req.key, req.nonce, wall, req.window, Kind::Claimed));
             self.batch.push(req);
         }
         next.sealed = next.claims.len() >= SEGMENT_CLAIMS;
@@ -365,10 +365,10 @@
 fn entry(
     key: ClaimKey,
     nonce: ClaimNonce,
-    made: UnixMillis,
+    claimed_at: UnixMillis,
     window: Duration,
     kind: Kind,
 ) -> Claim {
-    let until = UnixMillis(made.0 + window.as_millis() as u64);
-    Claim { key, nonce, made, until, kind }
+    let until = UnixMillis(claimed_at.0 + window.as_millis() as u64);
+    Claim { key, nonce, claimed_at, until, kind }
 }
--- a/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
+++ b/crates/borageswitch_control/src/reducer/claims/chain/reading.rs
@@ -45,7 +45,7 @@
         let known = if number == self.head { self.head_segment.claims.len() } else { 0 };
         for claim in &segment.claims[known..] {
             match claim.kind {
-                Kind::Made => self.add_claim(*claim),
+                Kind::Claimed => self.add_claim(*claim),
                 Kind::Released => self.add_release(*claim),
             }
         }
@@ -76,7 +76,8 @@
         let before = self.claimed.insert(claim.key, claim);
         let is_released = self.released.contains(&claim.nonce);
         assert!(!is_released, "the claim {} was made again after its release", claim.nonce);
-        let is_allowed = |before: Claim| before.nonce == claim.nonce || before.until <= claim.made;
+        let is_allowed =
+            |before: Claim| before.nonce == claim.nonce || before.until <= claim.claimed_at;
         assert!(before.is_none_or(is_allowed), "the key {} is claimed twice", claim.key);
     }
 
--- a/crates/borageswitch_control/src/reducer/claims/mod.rs
+++ b/crates/borageswitch_control/src/reducer/claims/mod.rs
@@ -60,7 +60,7 @@
 const MAX_PENDING: usize = 16_384;
 /// How long after its deadline a claim that is granted late is still released.
 const LATE_GRANT_WINDOW: Duration = Duration::from_secs(10);
-/// How long the shard's owner tries to write a release.
+/// How long the daemon that writes a shard's chain retries a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A claim requested by a traffic thread of this daemon.
--- a/crates/borageswitch_control/src/reducer/claims/segment.rs
+++ b/crates/borageswitch_control/src/reducer/claims/segment.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// The claim was made.
-    Made,
+    Claimed,
     /// The claim was released: nothing was sent under it, and nothing will be.
     Released,
 }
@@ -29,7 +29,7 @@
     pub(super) key: ClaimKey,
     pub(super) nonce: ClaimNonce,
     /// When the claim was made, by the writer's wall clock.
-    pub(super) made: UnixMillis,
+    pub(super) claimed_at: UnixMillis,
     /// When the claim expires, by the same clock.
     pub(super) until: UnixMillis,
     pub(super) kind: Kind,
@@ -45,8 +45,8 @@
 impl Segment {
     pub(super) fn to_text(&self) -> String {
         let mut text = String::from(if self.sealed { SEALED } else { OPEN });
-        for Claim { key, nonce, made, until, kind } in &self.claims {
-            text.push_str(&format!("\n{key} {nonce} {made} {until}"));
+        for Claim { key, nonce, claimed_at, until, kind } in &self.claims {
+            text.push_str(&format!("\n{key} {nonce} {claimed_at} {until}"));
             if *kind == Kind::Released {
                 text.push(' ');
                 text.push_str(RELEASED);
@@ -83,17 +83,17 @@
     let mut words = line.split(' ');
     let key = u128::from_str_radix(words.next()?, 16).ok()?;
     let nonce = u64::from_str_radix(words.next()?, 16).ok()?;
-    let made = words.next()?.parse().ok()?;
+    let claimed_at = words.next()?.parse().ok()?;
     let until = words.next()?.parse().ok()?;
     let kind = match words.next() {
-        None => Kind::Made,
+        None => Kind::Claimed,
         Some(RELEASED) => Kind::Released,
         Some(_) => return None,
     };
     words.next().is_none().then_some(Claim {
         key: ClaimKey(key),
         nonce: ClaimNonce(nonce),
-        made: UnixMillis(made),
+        claimed_at: UnixMillis(claimed_at),
         until: UnixMillis(until),
         kind,
     })
--- a/crates/borageswitch_control/src/reducer/claims/tests.rs
+++ b/crates/borageswitch_control/src/reducer/claims/tests.rs
@@ -40,9 +40,14 @@
 }
 
 #[test]
-fn a_segment_survives_its_text() {
-    let claim =
-        Claim { key: ClaimKey(7), nonce: ClaimNonce(8), made: WALL, until: WALL, kind: Kind::Made };
+fn a_segment_round_trips_through_text() {
+    let claim = Claim {
+        key: ClaimKey(7),
+        nonce: ClaimNonce(8),
+        claimed_at: WALL,
+        until: WALL,
+        kind: Kind::Claimed,
+    };
     let segment =
         Segment { claims: vec![claim, Claim { kind: Kind::Released, ..claim }], sealed: true };
 
@@ -56,7 +61,7 @@
 /// The store appends a claim but its response is lost. The request must still run: the segment is
 /// read back and the nonce identifies the claim as the requester's own.
 #[test]
-fn a_lost_answer_is_settled_by_the_nonce() {
+fn a_lost_response_is_resolved_by_the_nonce() {
     let mut chain = loaded_chain();
     let now = Time::from_millis(10);
     let (step, request) = chain.next_call(now, WALL, true).expect("an append");
@@ -86,9 +91,9 @@
     let winner = Claim {
         key: ClaimKey(99),
         nonce: ClaimNonce(1),
-        made: WALL,
+        claimed_at: WALL,
         until: WALL,
-        kind: Kind::Made,
+        kind: Kind::Claimed,
     };
     let segment = Segment { claims: vec![winner], sealed: false };
 
@@ -105,7 +110,7 @@
 
 /// If the store is unavailable until the deadline, the claim must be reported as unavailable.
 #[test]
-fn an_outage_past_the_deadline_refuses() {
+fn an_outage_past_the_deadline_is_unavailable() {
     let mut chain = loaded_chain();
     let now = Time::from_millis(10);
     let (step, _) = chain.next_call(now, WALL, true).expect("an append");
@@ -220,10 +225,15 @@
 /// made. Two daemons may have sent the request, so the daemon that reads the chain must panic.
 #[test]
 #[should_panic(expected = "is claimed twice")]
-fn a_release_after_the_second_claim_excuses_nothing() {
+fn a_release_after_the_second_claim_is_a_violation() {
     let until = UnixMillis(WALL.0 + 600_000);
-    let first =
-        Claim { key: ClaimKey(5), nonce: ClaimNonce(1), made: WALL, until, kind: Kind::Made };
+    let first = Claim {
+        key: ClaimKey(5),
+        nonce: ClaimNonce(1),
+        claimed_at: WALL,
+        until,
+        kind: Kind::Claimed,
+    };
     let second = Claim { nonce: ClaimNonce(2), ..first };
     let late = Claim { kind: Kind::Released, ..first };
     let segment = Segment { claims: vec![first, second, late], sealed: false };
@@ -239,7 +249,7 @@
 /// Another daemon has written a release that this one has not read. A retry must not be rejected
 /// because of the outdated claim: the end of the chain must be read first.
 #[test]
-fn a_claim_known_earlier_is_looked_at_again_before_it_refuses() {
+fn an_outdated_claim_is_read_again_before_it_rejects_a_request() {
     let mut chain = loaded_chain();
     let mut now = Time::from_millis(10);
     let mut segment = write_all(&mut chain, &mut now).expect("a write");
--- a/crates/borageswitch_control/src/reducer/tree.rs
+++ b/crates/borageswitch_control/src/reducer/tree.rs
@@ -53,7 +53,7 @@
     /// parent.
     has_changes: bool,
     heartbeats_sent: u64,
-    /// The last heartbeat received from each neighbour.
+    /// The last heartbeat received from each neighbour, with its send time to be echoed.
     arrivals: BTreeMap<DaemonName, Arrival>,
     rosters: BTreeMap<DaemonName, u64>,
 }
--- a/crates/borageswitch_control/tests/guards.rs
+++ b/crates/borageswitch_control/tests/guards.rs
@@ -44,7 +44,7 @@
 /// A paused holder loses its lease and another daemon takes over. Without the lease check by its
 /// own clock, the first holder would still send commands to hosts when it resumes.
 #[test]
-fn without_fencing_a_paused_holder_commands() {
+fn without_fencing_a_paused_holder_sends_commands() {
     let guards = Guards { fencing: false, ..Guards::default() };
     assert_caught(&[0, 1], guards, "while the duty is with");
 }
@@ -67,13 +67,13 @@
 
 /// A peer message arrives late. Without the check it would restore an old document.
 #[test]
-fn without_adopting_only_higher_a_document_comes_back() {
+fn without_adopting_only_higher_an_old_document_is_restored() {
     let guards = Guards { adopt_only_higher: false, ..Guards::default() };
     assert_caught(&[3, 20, 31, 39], guards, "go back from revision");
 }
 
 /// Cuts one daemon off from the store and from its peers during a wave over all hosts.
-fn run_with_a_lost_daemon(guards: Guards) {
+fn run_with_a_partitioned_daemon(guards: Guards) {
     let mut world = World::new(7, 5, Faults::none(), guards);
     world.run_until(Duration::from_secs(3));
     let settings = WaveSettings { trial: Duration::from_millis(300), ..Default::default() };
@@ -90,17 +90,17 @@
 /// A daemon is cut off while the others continue a wave. Without a permission that expires on its
 /// own it would send work to hosts that are out of service.
 #[test]
-fn without_the_self_fence_a_lost_daemon_sends_work() {
+fn without_the_self_fence_a_partitioned_daemon_sends_work() {
     let guards = Guards { self_fence: false, ..Guards::default() };
 
-    let found = panic_message(|| run_with_a_lost_daemon(guards)).expect("the run is caught");
+    let found = panic_message(|| run_with_a_partitioned_daemon(guards)).expect("the run is caught");
 
     // The order depends on when the host reboots: either the reboot cuts an earlier request of the
     // lost daemon, or a later request goes to a host that is out of service.
     let effects = ["entry-04 sends new work", "requests of [entry-04] in flight"];
     let is_lost_daemons = effects.iter().any(|effect| found.contains(effect));
     assert!(is_lost_daemons, "caught for another reason: {found}");
-    assert_eq!(panic_message(|| run_with_a_lost_daemon(Guards::default())), None);
+    assert_eq!(panic_message(|| run_with_a_partitioned_daemon(Guards::default())), None);
 }
 
 #[test]
--- a/crates/borageswitch_control/tests/lost_lists.rs
+++ b/crates/borageswitch_control/tests/lost_lists.rs
@@ -17,7 +17,7 @@
 /// most store responses arrive too late, and successful lists are half a lease apart. The wait must
 /// not restart with each list, or the wave would hardly progress.
 #[test]
-fn lost_lists_do_not_hold_a_wave_back() {
+fn lost_lists_do_not_delay_a_wave() {
     let mut world = World::new(11, 5, Faults::none(), Guards::default());
     world.run_until(Duration::from_secs(3));
     let names = world.names();
--- a/crates/borageswitch_control/tests/randomised.rs
+++ b/crates/borageswitch_control/tests/randomised.rs
@@ -56,7 +56,7 @@
 /// and the store loses responses. Once the faults end, every daemon must have the store's document
 /// and take work.
 #[test]
-fn no_promise_breaks_and_all_recovers() {
+fn invariants_hold_and_all_daemons_recover() {
     let seeds = seeds(SEEDS);
     let chunk_len = seeds.len().div_ceil(THREADS).max(1);
     let totals = std::thread::scope(|scope| {
@@ -93,7 +93,7 @@
 /// unsent requests are released, some twice and some never, and their callers retry through any
 /// daemon, under every kind of fault.
 #[test]
-fn a_claim_that_is_given_back_is_granted_once_more() {
+fn a_released_claim_is_granted_again() {
     let seeds = seeds(RELEASE_SEEDS);
     let chunk_len = seeds.len().div_ceil(THREADS).max(1);
     let totals = std::thread::scope(|scope| {
@@ -119,7 +119,7 @@
 /// Without faults, 200 requests at seven daemons are released and retried through another daemon
 /// after the shortest retry delay reported to callers. All must be granted again.
 #[test]
-fn who_comes_back_when_told_finds_the_id_free() {
+fn a_retry_after_the_shortest_delay_is_granted() {
     let mut world = World::new(11, 7, Faults::none(), Guards::default());
     world.run_until(Duration::from_secs(3));
     let names = world.names();
--- a/crates/borageswitch_control/tests/support/world/claims.rs
+++ b/crates/borageswitch_control/tests/support/world/claims.rs
@@ -21,13 +21,13 @@
             request_id: format!("caller/{id}").into(),
             deadline: self.now + Duration::from_millis(1_500),
         };
-        self.at(Duration::ZERO, Action::Deliver(daemon.clone(), Event::Claim(claim)));
+        self.schedule(Duration::ZERO, Action::Deliver(daemon.clone(), Event::Claim(claim)));
     }
 
     pub(super) fn claim_concurrently(&mut self) {
         let wait = self.millis(5, 100);
         if self.faults_enabled() {
-            self.at(wait, Action::Claim);
+            self.schedule(wait, Action::Claim);
         }
         let id = self.last_sequence;
         for _ in 0..self.rng.usize(1..=3) {
@@ -55,17 +55,17 @@
         let wait = Duration::from_millis(rng.u64(0..300));
         let resend = wait + Duration::from_millis(rng.u64(0..600));
         if !is_lost {
-            self.at(wait, Action::ReleaseClaim(daemon.clone(), ticket, id));
+            self.schedule(wait, Action::ReleaseClaim(daemon.clone(), ticket, id));
         }
         if is_twice && !is_lost {
-            self.at(wait * 2, Action::ReleaseClaim(daemon.clone(), ticket, id));
+            self.schedule(wait * 2, Action::ReleaseClaim(daemon.clone(), ticket, id));
         }
-        self.at(resend, Action::Resend(id));
+        self.schedule(resend, Action::Resend(id));
     }
 
     pub(super) fn release_claim(&mut self, daemon: DaemonName, ticket: ClaimTicket, id: u64) {
         if self.is_paused(&daemon) {
-            self.at(Duration::from_millis(50), Action::ReleaseClaim(daemon, ticket, id));
+            self.schedule(Duration::from_millis(50), Action::ReleaseClaim(daemon, ticket, id));
             return;
         }
         if self.daemons.contains_key(&daemon) {
@@ -77,7 +77,7 @@
     /// Releases a claim at the daemon that it was granted to.
     pub fn release_granted(&mut self, id: u64) {
         if let Some((daemon, ticket)) = self.checker.holder(id) {
-            self.at(Duration::ZERO, Action::ReleaseClaim(daemon, ticket, id));
+            self.schedule(Duration::ZERO, Action::ReleaseClaim(daemon, ticket, id));
         }
     }
 
--- a/crates/borageswitch_control/tests/support/world/hosts.rs
+++ b/crates/borageswitch_control/tests/support/world/hosts.rs
@@ -75,6 +75,6 @@
         let outcome = if refused { Err(AgentError::Refused) } else { Ok(status) };
         let outcome = if self.chance(0.05) { Err(AgentError::Silent) } else { outcome };
         let delay = self.millis(1, 20);
-        self.at(delay, Action::Deliver(daemon, Event::Agent { host, outcome }));
+        self.schedule(delay, Action::Deliver(daemon, Event::Agent { host, outcome }));
     }
 }
--- a/crates/borageswitch_control/tests/support/world/mod.rs
+++ b/crates/borageswitch_control/tests/support/world/mod.rs
@@ -163,14 +163,14 @@
         }
         let change = FleetChange::ApplySite(Box::new(site(entries)));
         let first = world.names()[0].clone();
-        world.at(
+        world.schedule(
             Duration::from_millis(300),
             Action::Deliver(first, operators::change_event(1, "site", change)),
         );
         if world.random_actions {
-            world.at(Duration::from_secs(3), Action::Operate);
-            world.at(Duration::from_secs(2), Action::Claim);
-            world.at(Duration::from_secs(4), Action::Fault);
+            world.schedule(Duration::from_secs(3), Action::Operate);
+            world.schedule(Duration::from_secs(2), Action::Claim);
+            world.schedule(Duration::from_secs(4), Action::Fault);
         }
         world
     }
@@ -183,7 +183,7 @@
         UnixMillis(WALL_START + self.now.as_micros() / 1_000)
     }
 
-    fn at(&mut self, after: Duration, action: Action) {
+    fn schedule(&mut self, after: Duration, action: Action) {
         self.last_sequence += 1;
         self.queue.insert((self.now + after, self.last_sequence), action);
     }
@@ -227,12 +227,12 @@
             tickets: BTreeMap::new(),
         };
         self.daemons.insert(daemon.clone(), fake);
-        self.at(Duration::from_millis(1), Action::Deliver(daemon.clone(), Event::Started));
+        self.schedule(Duration::from_millis(1), Action::Deliver(daemon.clone(), Event::Started));
         for action in [Action::Tick(daemon.clone()), Action::Report(daemon.clone())] {
             let delay = self.millis(2, 50);
-            self.at(delay, action);
+            self.schedule(delay, action);
         }
-        self.at(Duration::from_millis(20), Action::Request(daemon.clone()));
+        self.schedule(Duration::from_millis(20), Action::Request(daemon.clone()));
         daemon
     }
 
@@ -245,7 +245,7 @@
             self.links.remove(&link);
             let other = if link.0 == *daemon { link.1 } else { link.0 };
             let event = Event::PeerDown { daemon: daemon.clone() };
-            self.at(Duration::from_millis(5), Action::Deliver(other, event));
+            self.schedule(Duration::from_millis(5), Action::Deliver(other, event));
         }
     }
 
@@ -254,7 +254,7 @@
         if let Some(fake) = self.daemons.get_mut(daemon) {
             fake.paused_until = until;
         }
-        self.at(time, Action::Wake(daemon.clone()));
+        self.schedule(time, Action::Wake(daemon.clone()));
     }
 
     /// Runs until `end` after the start.
@@ -314,7 +314,7 @@
 
     fn repeat(&mut self, daemon: &DaemonName, after: Duration, action: Action) {
         if self.daemons.contains_key(daemon) {
-            self.at(after, action);
+            self.schedule(after, action);
         }
     }
 
@@ -327,7 +327,7 @@
         let Some(fake) = self.daemons.get_mut(daemon) else { return };
         if fake.paused_until > now {
             let wait = fake.paused_until.since(now);
-            self.at(wait, Action::Deliver(daemon.clone(), event));
+            self.schedule(wait, Action::Deliver(daemon.clone(), event));
             return;
         }
         let effects = fake.state.handle(now, event);
@@ -343,22 +343,22 @@
             }
             Effect::ConnectPeer { member } => {
                 let connect = Action::Connect(daemon.clone(), member.daemon);
-                self.at(Duration::from_millis(3), connect);
+                self.schedule(Duration::from_millis(3), connect);
             }
             Effect::DialPeer { address } => {
                 let found = self.daemons.values().find(|fake| fake.member.address == address);
                 if let Some(to) = found.map(|fake| fake.member.daemon.clone()) {
                     let connect = Action::Connect(daemon.clone(), to);
-                    self.at(Duration::from_millis(3), connect);
+                    self.schedule(Duration::from_millis(3), connect);
                 }
             }
             Effect::DisconnectPeer { daemon: other } => {
                 // A peer that is still alive reconnects by itself.
                 self.links.remove(&network::link(daemon, &other));
                 let event = Event::PeerDown { daemon: daemon.clone() };
-                self.at(Duration::from_millis(5), Action::Deliver(other.clone(), event));
+                self.schedule(Duration::from_millis(5), Action::Deliver(other.clone(), event));
                 let connect = Action::Connect(other, daemon.clone());
-                self.at(Duration::from_millis(500), connect);
+                self.schedule(Duration::from_millis(500), connect);
             }
             Effect::SendPeer { to, message } => self.send(daemon, &to, message),
             Effect::CommandHost { host, command, .. } => {
@@ -367,7 +367,7 @@
                     self.store.value(PLANNER_KEY).and_then(|v| std::str::from_utf8(v).ok());
                 self.checker.commanded(self.now, daemon, holder);
                 let delay = self.millis(1, 20);
-                self.at(delay, Action::Command(daemon.clone(), host, command));
+                self.schedule(delay, Action::Command(daemon.clone(), host, command));
             }
             Effect::RespondToOperator { call, response } => {
                 self.responses.push((daemon.clone(), call, response));
@@ -380,7 +380,7 @@
             }
             Effect::PublishView(view) => {
                 let delay = self.millis(0, 10);
-                self.at(delay, Action::ApplyView(daemon.clone(), view));
+                self.schedule(delay, Action::ApplyView(daemon.clone(), view));
             }
             Effect::AdmitUntil(until) => {
                 if let Some(fake) = self.daemons.get_mut(daemon) {
--- a/crates/borageswitch_control/tests/support/world/network.rs
+++ b/crates/borageswitch_control/tests/support/world/network.rs
@@ -13,13 +13,13 @@
         for (daemon, fake) in &mut self.daemons {
             fake.partition = u8::from(apart.contains(daemon));
         }
-        self.at(time, Action::HealNetwork);
+        self.schedule(time, Action::HealNetwork);
     }
 
     pub(super) fn connect(&mut self, from: DaemonName, to: DaemonName) {
         let (Some(a), Some(b)) = (self.daemons.get(&from), self.daemons.get(&to)) else { return };
         if a.partition != b.partition {
-            self.at(Duration::from_millis(500), Action::Connect(from, to));
+            self.schedule(Duration::from_millis(500), Action::Connect(from, to));
             return;
         }
         let (a, b) = (a.member.clone(), b.member.clone());
@@ -43,7 +43,7 @@
         for _ in 0..copies {
             let delay = if self.chance(0.05) { self.millis(5, 900) } else { self.millis(1, 4) };
             let event = Event::Peer { from: from.clone(), message: message.clone() };
-            self.at(delay, Action::Deliver(to.clone(), event));
+            self.schedule(delay, Action::Deliver(to.clone(), event));
         }
     }
 }
--- a/crates/borageswitch_control/tests/support/world/operators.rs
+++ b/crates/borageswitch_control/tests/support/world/operators.rs
@@ -14,12 +14,12 @@
 impl World {
     pub fn operator_request(&mut self, daemon: &DaemonName, call: u64, request: OperatorRequest) {
         let event = Event::Operator { call: OperatorCallId(call), request };
-        self.at(Duration::from_millis(1), Action::Deliver(daemon.clone(), event));
+        self.schedule(Duration::from_millis(1), Action::Deliver(daemon.clone(), event));
     }
 
     pub fn change(&mut self, daemon: &DaemonName, call: u64, operation: &str, change: FleetChange) {
         let event = change_event(call, operation, change);
-        self.at(Duration::from_millis(1), Action::Deliver(daemon.clone(), event));
+        self.schedule(Duration::from_millis(1), Action::Deliver(daemon.clone(), event));
     }
 }
 
--- a/crates/borageswitch_control/tests/support/world/random_actions.rs
+++ b/crates/borageswitch_control/tests/support/world/random_actions.rs
@@ -19,7 +19,7 @@
     pub(super) fn random_operation(&mut self) {
         let wait = self.millis(200, 2_000);
         if self.faults_enabled() {
-            self.at(wait, Action::Operate);
+            self.schedule(wait, Action::Operate);
         }
         let operation = format!("op-{}", self.last_sequence);
         let host = host_name(self.rng.usize(..12));
@@ -51,7 +51,7 @@
         if !self.faults_enabled() {
             return;
         }
-        self.at(wait, Action::Fault);
+        self.schedule(wait, Action::Fault);
         let daemon = self.any_daemon();
         let time = self.millis(200, 12_000);
         match self.rng.u8(..12) {
--- a/crates/borageswitch_control/tests/support/world/store_calls.rs
+++ b/crates/borageswitch_control/tests/support/world/store_calls.rs
@@ -15,7 +15,7 @@
         if let Some(fake) = self.daemons.get_mut(daemon) {
             fake.is_cut_from_store = true;
         }
-        self.at(time, Action::HealStore(daemon.clone()));
+        self.schedule(time, Action::HealStore(daemon.clone()));
     }
 
     pub(super) fn call_store(
@@ -27,7 +27,7 @@
     ) {
         let lost_at = self.now + timeout;
         let delay = if self.chance(0.02) { self.millis(100, 700) } else { self.millis(1, 4) };
-        self.at(delay, Action::Execute(daemon.clone(), call, request, lost_at));
+        self.schedule(delay, Action::Execute(daemon.clone(), call, request, lost_at));
     }
 
     pub(super) fn execute(
@@ -42,7 +42,7 @@
             let lost = self.rng.bool();
             let wait = if lost { lost_at.since(self.now) } else { Duration::from_millis(2) };
             let err = if lost { StoreError::AnswerLost } else { StoreError::NotSent };
-            self.at(wait, Action::Deliver(daemon, Event::Store { call, outcome: Err(err) }));
+            self.schedule(wait, Action::Deliver(daemon, Event::Store { call, outcome: Err(err) }));
             return;
         }
         if let StoreRequest::Watch { key, after, wait } = &request
@@ -74,7 +74,7 @@
             true => (lost_at.since(self.now), Err(StoreError::AnswerLost)),
             false => (delay, Ok(response)),
         };
-        self.at(wait, Action::Deliver(daemon, Event::Store { call, outcome }));
+        self.schedule(wait, Action::Deliver(daemon, Event::Store { call, outcome }));
     }
 
     fn wake_watches(&mut self) {
@@ -87,7 +87,7 @@
             if !self.chance(0.1) {
                 let delay = self.millis(1, 4);
                 let event = Event::Store { call, outcome: Ok(response) };
-                self.at(delay, Action::Deliver(daemon, event));
+                self.schedule(delay, Action::Deliver(daemon, event));
             }
         }
     }
--- a/crates/borageswitch_control/tests/waits.rs
+++ b/crates/borageswitch_control/tests/waits.rs
@@ -58,7 +58,8 @@
 
 /// A daemon is paused just before a change. An operator waits for the change at another daemon,
 /// which is not the planner and so has not listed the leases. The paused daemon may resume and
-/// serve by the old revision while its lease is valid, so it must count as lagging until then.
+/// serve by the old revision while its lease is valid, so it must count as lagging as
+/// long as that lease may be valid.
 #[test]
 fn a_silent_daemon_whose_lease_may_stand_lags() {
     let cfg = ControlConfig::new(member("d2"), "gauteng".into(), 1);
