--- a/crates/borageswitch_control/src/reducer/claims/mod.rs
+++ b/crates/borageswitch_control/src/reducer/claims/mod.rs
@@ -223,7 +223,7 @@
             match requester {
                 Requester::Local => self.claim_resolved(nonce, outcome),
                 Requester::Peer(daemon) => {
-                    responses.entry(daemon).or_default().push((nonce, outcome))
+                    responses.entry(daemon).or_default().push((nonce, outcome));
                 }
             }
         }
--- a/crates/borageswitch_control/src/reducer/store_calls.rs
+++ b/crates/borageswitch_control/src/reducer/store_calls.rs
@@ -181,7 +181,7 @@
             Purpose::DeleteMember(daemon) => self.member_deleted(&daemon, &outcome),
             Purpose::Duty(duty, step) => self.duty_response(&duty, step, outcome),
             Purpose::Claims(shard, step) => {
-                self.claims_store_response(shard, step, sent_at, outcome)
+                self.claims_store_response(shard, step, sent_at, outcome);
             }
             Purpose::Cleanup => {}
         }
