--- a/crates/borageswitch_control/src/reducer/claims/tests.rs
+++ b/crates/borageswitch_control/src/reducer/claims/tests.rs
@@ -40,9 +40,14 @@
 }
 
 #[test]
-fn a_segment_survives_its_text() {
-    let claim =
-        Claim { key: ClaimKey(7), nonce: ClaimNonce(8), made: WALL, until: WALL, kind: Kind::Made };
+fn a_segment_round_trips_through_text() {
+    let claim = Claim {
+        key: ClaimKey(7),
+        nonce: ClaimNonce(8),
+        claimed_at: WALL,
+        until: WALL,
+        kind: Kind::Claimed,
+    };
     let segment =
         Segment { claims: vec![claim, Claim { kind: Kind::Released, ..claim }], sealed: true };
 
@@ -53,10 +58,10 @@
     assert_eq!(Segment::from_bytes(b"open\nff"), None);
 }
 
-/// The store appends a claim and its answer is lost on the way. The caller must get its one
-/// execution: the segment is read back and the nonce tells that the claim is its own.
+/// The store appends a claim but its response is lost. The request must still run: the segment is
+/// read back and the nonce identifies the claim as the requester's own.
 #[test]
-fn a_lost_answer_is_settled_by_the_nonce() {
+fn a_lost_response_is_resolved_by_the_nonce() {
     let mut chain = loaded_chain();
     let now = Time::from_millis(10);
     let (step, request) = chain.next_call(now, WALL, true).expect("an append");
@@ -74,8 +79,9 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Granted)]);
 }
 
-/// Two daemons believe to own a shard and claim one key at the same time. The second loses the
-/// compare-and-swap, reads the first one's claim and refuses: one execution, not two.
+/// Two daemons consider themselves the owner of a shard and claim one key at the same time. The
+/// loser of the compare-and-swap must read the winner's claim and reject its own, or the request
+/// would run twice.
 #[test]
 fn the_loser_of_a_race_reads_the_winners_claim() {
     let mut chain = loaded_chain();
@@ -85,9 +91,9 @@
     let winner = Claim {
         key: ClaimKey(99),
         nonce: ClaimNonce(1),
-        made: WALL,
+        claimed_at: WALL,
         until: WALL,
-        kind: Kind::Made,
+        kind: Kind::Claimed,
     };
     let segment = Segment { claims: vec![winner], sealed: false };
 
@@ -102,9 +108,9 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::AlreadyClaimed)]);
 }
 
-/// The store stays away until the deadline. The caller is told in time that nothing ran.
+/// If the store is unavailable until the deadline, the claim must be reported as unavailable.
 #[test]
-fn an_outage_past_the_deadline_refuses() {
+fn an_outage_past_the_deadline_is_unavailable() {
     let mut chain = loaded_chain();
     let now = Time::from_millis(10);
     let (step, _) = chain.next_call(now, WALL, true).expect("an append");
@@ -115,8 +121,8 @@
     assert_eq!(outcomes(&mut chain), [(99, ClaimOutcome::Unavailable)]);
 }
 
-/// A burst fills a segment: the write that fills it seals it, and the next claim begins another
-/// one, so that no write grows without bound.
+/// The write that fills a segment must seal it, and the next claim must start another one;
+/// otherwise writes would grow without bound.
 #[test]
 fn a_full_segment_is_sealed_and_followed() {
     let mut chain = loaded_chain();
@@ -161,10 +167,9 @@
     Release { key: ClaimKey(key), nonce: ClaimNonce(nonce), window, deadline }
 }
 
-/// A payroll was granted, every target refused it, and its clerk sends it again under its id. The
-/// resend comes while the release is still unwritten: it waits for that and is granted. A late copy
-/// of the first ask must not claim the key again, and neither does the first claim return when the
-/// chain is read anew.
+/// A request is granted, refused by every target and sent again under its id. The retry arrives
+/// before the release is written: it must wait for the release and be granted. Neither a delayed
+/// copy of the first request nor reloading the chain may restore the first claim.
 #[test]
 fn a_released_claim_no_longer_blocks_its_key() {
     let mut chain = loaded_chain();
@@ -196,7 +201,7 @@
     assert_eq!(outcomes(&mut other), [(101, ClaimOutcome::AlreadyClaimed)]);
 }
 
-/// A release comes of a nonce that does not hold the key. The claim that does must stand, or the
+/// A release of a nonce that does not hold the key must leave the key's claim in place, or the
 /// request would run twice.
 #[test]
 fn a_release_of_another_nonce_changes_nothing() {
@@ -216,14 +221,19 @@
     assert_eq!(outcomes(&mut chain), expected);
 }
 
-/// The chain holds two claims of a key, and the first was released only after the second was made.
-/// Two daemons may have sent the request: the daemon that reads this must stop.
+/// The chain contains two claims of a key, and the first was released only after the second was
+/// made. Two daemons may have sent the request, so the daemon that reads the chain must panic.
 #[test]
 #[should_panic(expected = "is claimed twice")]
-fn a_release_after_the_second_claim_excuses_nothing() {
+fn a_release_after_the_second_claim_is_a_violation() {
     let until = UnixMillis(WALL.0 + 600_000);
-    let first =
-        Claim { key: ClaimKey(5), nonce: ClaimNonce(1), made: WALL, until, kind: Kind::Made };
+    let first = Claim {
+        key: ClaimKey(5),
+        nonce: ClaimNonce(1),
+        claimed_at: WALL,
+        until,
+        kind: Kind::Claimed,
+    };
     let second = Claim { nonce: ClaimNonce(2), ..first };
     let late = Claim { kind: Kind::Released, ..first };
     let segment = Segment { claims: vec![first, second, late], sealed: false };
@@ -236,10 +246,10 @@
     chain.on_response(step, Time::ZERO, Time::ZERO, Ok(StoreResponse::Values(vec![kv])));
 }
 
-/// Another daemon has written a release that this one has not read. A resend must not be refused
-/// for what was true earlier: the end of the chain is read first.
+/// Another daemon has written a release that this one has not read. A retry must not be rejected
+/// because of the outdated claim: the end of the chain must be read first.
 #[test]
-fn a_claim_known_earlier_is_looked_at_again_before_it_refuses() {
+fn an_outdated_claim_is_read_again_before_it_rejects_a_request() {
     let mut chain = loaded_chain();
     let mut now = Time::from_millis(10);
     let mut segment = write_all(&mut chain, &mut now).expect("a write");
--- a/crates/borageswitch_control/tests/support/world/mod.rs
+++ b/crates/borageswitch_control/tests/support/world/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons, store, hosts and network of one region in virtual time.
+//! Simulates the daemons, store, hosts and network of one region in virtual time.
 //!
-//! A queue in order of time holds all that is still to happen. The daemons are real reducers; what
-//! they ask for is carried out here and in the modules of the store, the network and the hosts.
+//! A queue ordered by time contains all pending actions. The daemons are real reducers; their
+//! effects are executed here and in the submodules for the store, the network and the hosts.
 
 mod claims;
 mod hosts;
@@ -41,7 +41,8 @@
 const TICK: Duration = Duration::from_millis(50);
 const FLEET_KEY: &str = "borageswitch/gauteng/fleet";
 const PLANNER_KEY: &str = "borageswitch/gauteng/duty/planner";
-/// Far above what a run needs: a daemon that answers each event with two would fill the memory.
+/// Limit on queued actions, far above what a run needs: a daemon that responds to each event with
+/// two would exhaust memory.
 const MAX_QUEUED: usize = 50_000;
 const WALL_START: u64 = 1_700_000_000_000;
 
@@ -65,7 +66,7 @@
     HealNetwork,
 }
 
-/// One daemon with its traffic threads.
+/// A daemon with its simulated traffic threads.
 pub struct FakeDaemon {
     pub state: State,
     pub member: Member,
@@ -82,7 +83,7 @@
     up_at: Time,
 }
 
-/// Everything of one region.
+/// The simulated region.
 pub struct World {
     pub now: Time,
     pub rng: fastrand::Rng,
@@ -105,22 +106,24 @@
     waves_started: u32,
     pub random_actions: bool,
     pub lose_next_append: bool,
-    /// Only one list of keys in so many is answered.
+    /// Only one in this many list calls gets a response.
     pub list_response_interval: u64,
     list_calls: u64,
-    /// Draws which granted requests are not sent and what becomes of their claims; nothing else
-    /// draws from it, so that runs without it keep their course.
+    /// Chooses which granted requests are not sent and whether their claims are released. It is
+    /// separate from `rng`, so that runs without it keep their random sequence.
     pub unsent_rng: Option<fastrand::Rng>,
     has_short_timeouts: bool,
 }
 
 impl World {
-    /// A region with `entries` daemons that have just started; operators apply the site at once.
+    /// Creates a region with `entries` daemons that have just started; an operator applies the site
+    /// at once.
     pub fn new(seed: u64, entries: u16, faults: Faults, guards: Guards) -> Self {
         Self::with_timing(seed, entries, faults, guards, true)
     }
 
-    /// The same with a daemon's usual times, or shorter ones that fit more into a run.
+    /// Like [`Self::new`], with either the default timeouts or shorter ones that fit more events
+    /// into a run.
     pub fn with_timing(
         seed: u64,
         entries: u16,
@@ -160,14 +163,14 @@
         }
         let change = FleetChange::ApplySite(Box::new(site(entries)));
         let first = world.names()[0].clone();
-        world.at(
+        world.schedule(
             Duration::from_millis(300),
             Action::Deliver(first, operators::change_event(1, "site", change)),
         );
         if world.random_actions {
-            world.at(Duration::from_secs(3), Action::Operate);
-            world.at(Duration::from_secs(2), Action::Claim);
-            world.at(Duration::from_secs(4), Action::Fault);
+            world.schedule(Duration::from_secs(3), Action::Operate);
+            world.schedule(Duration::from_secs(2), Action::Claim);
+            world.schedule(Duration::from_secs(4), Action::Fault);
         }
         world
     }
@@ -180,7 +183,7 @@
         UnixMillis(WALL_START + self.now.as_micros() / 1_000)
     }
 
-    fn at(&mut self, after: Duration, action: Action) {
+    fn schedule(&mut self, after: Duration, action: Action) {
         self.last_sequence += 1;
         self.queue.insert((self.now + after, self.last_sequence), action);
     }
@@ -224,16 +227,16 @@
             tickets: BTreeMap::new(),
         };
         self.daemons.insert(daemon.clone(), fake);
-        self.at(Duration::from_millis(1), Action::Deliver(daemon.clone(), Event::Started));
+        self.schedule(Duration::from_millis(1), Action::Deliver(daemon.clone(), Event::Started));
         for action in [Action::Tick(daemon.clone()), Action::Report(daemon.clone())] {
             let delay = self.millis(2, 50);
-            self.at(delay, action);
+            self.schedule(delay, action);
         }
-        self.at(Duration::from_millis(20), Action::Request(daemon.clone()));
+        self.schedule(Duration::from_millis(20), Action::Request(daemon.clone()));
         daemon
     }
 
-    /// A daemon's host is gone: its connections break, its leases are left to lapse.
+    /// Crashes a daemon with its host: its connections break, and its leases are left to expire.
     pub fn crash(&mut self, daemon: &DaemonName) {
         self.daemons.remove(daemon);
         let ended = self.links.iter().filter(|(a, b)| a == daemon || b == daemon);
@@ -242,7 +245,7 @@
             self.links.remove(&link);
             let other = if link.0 == *daemon { link.1 } else { link.0 };
             let event = Event::PeerDown { daemon: daemon.clone() };
-            self.at(Duration::from_millis(5), Action::Deliver(other, event));
+            self.schedule(Duration::from_millis(5), Action::Deliver(other, event));
         }
     }
 
@@ -251,10 +254,10 @@
         if let Some(fake) = self.daemons.get_mut(daemon) {
             fake.paused_until = until;
         }
-        self.at(time, Action::Wake(daemon.clone()));
+        self.schedule(time, Action::Wake(daemon.clone()));
     }
 
-    /// Runs until a time after the start.
+    /// Runs until `end` after the start.
     pub fn run_until(&mut self, end: Duration) {
         let end = Time::ZERO + end;
         while let Some(entry) = self.queue.first_entry()
@@ -311,7 +314,7 @@
 
     fn repeat(&mut self, daemon: &DaemonName, after: Duration, action: Action) {
         if self.daemons.contains_key(daemon) {
-            self.at(after, action);
+            self.schedule(after, action);
         }
     }
 
@@ -324,7 +327,7 @@
         let Some(fake) = self.daemons.get_mut(daemon) else { return };
         if fake.paused_until > now {
             let wait = fake.paused_until.since(now);
-            self.at(wait, Action::Deliver(daemon.clone(), event));
+            self.schedule(wait, Action::Deliver(daemon.clone(), event));
             return;
         }
         let effects = fake.state.handle(now, event);
@@ -340,22 +343,22 @@
             }
             Effect::ConnectPeer { member } => {
                 let connect = Action::Connect(daemon.clone(), member.daemon);
-                self.at(Duration::from_millis(3), connect);
+                self.schedule(Duration::from_millis(3), connect);
             }
             Effect::DialPeer { address } => {
                 let found = self.daemons.values().find(|fake| fake.member.address == address);
                 if let Some(to) = found.map(|fake| fake.member.daemon.clone()) {
                     let connect = Action::Connect(daemon.clone(), to);
-                    self.at(Duration::from_millis(3), connect);
+                    self.schedule(Duration::from_millis(3), connect);
                 }
             }
             Effect::DisconnectPeer { daemon: other } => {
-                // A peer that lives on dials again by itself.
+                // A peer that is still alive reconnects by itself.
                 self.links.remove(&network::link(daemon, &other));
                 let event = Event::PeerDown { daemon: daemon.clone() };
-                self.at(Duration::from_millis(5), Action::Deliver(other.clone(), event));
+                self.schedule(Duration::from_millis(5), Action::Deliver(other.clone(), event));
                 let connect = Action::Connect(other, daemon.clone());
-                self.at(Duration::from_millis(500), connect);
+                self.schedule(Duration::from_millis(500), connect);
             }
             Effect::SendPeer { to, message } => self.send(daemon, &to, message),
             Effect::CommandHost { host, command, .. } => {
@@ -364,7 +367,7 @@
                     self.store.value(PLANNER_KEY).and_then(|v| std::str::from_utf8(v).ok());
                 self.checker.commanded(self.now, daemon, holder);
                 let delay = self.millis(1, 20);
-                self.at(delay, Action::Command(daemon.clone(), host, command));
+                self.schedule(delay, Action::Command(daemon.clone(), host, command));
             }
             Effect::RespondToOperator { call, response } => {
                 self.responses.push((daemon.clone(), call, response));
@@ -377,7 +380,7 @@
             }
             Effect::PublishView(view) => {
                 let delay = self.millis(0, 10);
-                self.at(delay, Action::ApplyView(daemon.clone(), view));
+                self.schedule(delay, Action::ApplyView(daemon.clone(), view));
             }
             Effect::AdmitUntil(until) => {
                 if let Some(fake) = self.daemons.get_mut(daemon) {
--- a/crates/borageswitch_control/tests/support/world/random_actions.rs
+++ b/crates/borageswitch_control/tests/support/world/random_actions.rs
@@ -1,4 +1,4 @@
-//! What operators and failures do at random times.
+//! Random operations and random faults.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     pub(super) fn random_operation(&mut self) {
         let wait = self.millis(200, 2_000);
         if self.faults_enabled() {
-            self.at(wait, Action::Operate);
+            self.schedule(wait, Action::Operate);
         }
         let operation = format!("op-{}", self.last_sequence);
         let host = host_name(self.rng.usize(..12));
@@ -37,7 +37,7 @@
             6 => FleetChange::MoveHost { host, to: "payroll".into() },
             _ => FleetChange::SetEntriesExpected { entries: self.entries },
         };
-        // The same operation through two daemons: an operator who tried the next endpoint.
+        // The same operation through two daemons is an operator who retried at the next endpoint.
         for _ in 0..self.rng.usize(1..=2) {
             let daemon = self.any_daemon();
             let call = self.last_sequence;
@@ -51,7 +51,7 @@
         if !self.faults_enabled() {
             return;
         }
-        self.at(wait, Action::Fault);
+        self.schedule(wait, Action::Fault);
         let daemon = self.any_daemon();
         let time = self.millis(200, 12_000);
         match self.rng.u8(..12) {
