--- a/crates/borageswitch_planner/src/baselines.rs
+++ b/crates/borageswitch_planner/src/baselines.rs
@@ -38,7 +38,7 @@
             match baseline {
                 Baseline::OneAtATime => plan_one_host(&mut plan, name, wave),
                 Baseline::FixedShare { percent } => {
-                    plan_fixed_share(&mut plan, name, wave, percent)
+                    plan_fixed_share(&mut plan, name, wave, percent);
                 }
             }
         }
--- a/crates/borageswitch_planner/src/explain.rs
+++ b/crates/borageswitch_planner/src/explain.rs
@@ -20,7 +20,7 @@
         hosts::{
             CLOCK_MARGIN, FAIL_AFTER, MAX_RESTARTS, RACK_FAIL_AFTER, READING_LAG, START_TIMEOUT,
         },
-        moves::{self, GIVE_BACK_AFTER, MAX_MOVES, REPLACE_AFTER},
+        moves::{self, MAX_MOVES, REPLACE_AFTER, RETURN_SURPLUS_AFTER},
         next_steps, waves,
     },
 };
@@ -386,7 +386,7 @@
         return Some(format!(
             "It gives {} hosts back once no wave needs them and no host of it has changed for {} s.",
             size.surplus(),
-            GIVE_BACK_AFTER.as_secs()
+            RETURN_SURPLUS_AFTER.as_secs()
         ));
     }
     None
--- a/crates/borageswitch_planner/src/steps/hosts.rs
+++ b/crates/borageswitch_planner/src/steps/hosts.rs
@@ -52,7 +52,7 @@
                 finish_leave(plan, name, host, why);
             }
             HostPhase::Serving | HostPhase::Leaving { .. } => {
-                check_serving(plan, name, host, &faults)
+                check_serving(plan, name, host, &faults);
             }
             HostPhase::Rebooting { wave, operation, not_after } => {
                 let timeout = reboot_timeout(plan, wave);
--- a/crates/borageswitch_planner/src/steps/moves.rs
+++ b/crates/borageswitch_planner/src/steps/moves.rs
@@ -8,7 +8,7 @@
 //! A pool should have `wanted_hosts` hosts that serve or will serve soon. A pool with fewer gets
 //! hosts from a spare pool or from a pool with a surplus: pools whose budget is violated come
 //! first, then pools by priority. A pool with a surplus returns hosts to a spare pool once none of
-//! its hosts has changed for [`GIVE_BACK_AFTER`]. At most [`MAX_MOVES`] moves are in flight.
+//! its hosts has changed for [`RETURN_SURPLUS_AFTER`]. At most [`MAX_MOVES`] moves are in flight.
 //!
 //! During a wave, a pool that can spare few hosts is lent some, as long as the rounds saved
 //! outweigh the moves; see [`loan_size`]. When a wave has finished a pool, its loans pass to the
@@ -35,7 +35,7 @@
 /// A host that has been silent for this long is replaced.
 pub(crate) const REPLACE_AFTER: Duration = Duration::from_secs(30);
 /// A pool returns surplus hosts after none of its hosts has changed its phase for this long.
-pub(crate) const GIVE_BACK_AFTER: Duration = Duration::from_secs(120);
+pub(crate) const RETURN_SURPLUS_AFTER: Duration = Duration::from_secs(120);
 /// One in this many spare hosts is not lent to a wave, so that a failed host can be replaced at
 /// once. With fewer spare hosts all are lent: 1.5 % of hosts fail per day, so in a one-hour wave
 /// over 50 hosts a reserve is missing in one wave of thirty, and only until the next loan is
@@ -87,8 +87,8 @@
         let Some(size) = sizes.get_mut(pool) else { continue };
         let is_lost = plan.observed.unreachable_for(name) >= REPLACE_AFTER;
         size.members += usize::from(is_member && !is_lost);
-        let is_steady =
-            plan.observed.in_phase_for(name) >= GIVE_BACK_AFTER && plan.observed.is_usable(name);
+        let is_steady = plan.observed.in_phase_for(name) >= RETURN_SURPLUS_AFTER
+            && plan.observed.is_usable(name);
         size.recently_changed |= !is_steady;
     }
     sizes
--- a/crates/borageswitch_planner/tests/sessions.rs
+++ b/crates/borageswitch_planner/tests/sessions.rs
@@ -138,8 +138,8 @@
     }
 }
 
-/// A switch fails while a host in the next rack reboots, so four hosts of four pools go silent at
-/// once. Budgets are designed to survive that, but until spare hosts have replaced them a second
+/// A switch fails while a host in the previous rack reboots, so four hosts of four pools go silent
+/// at once. Budgets are designed to survive that, but until spare hosts have replaced them a second
 /// failure would be noticed. The rack returns after ten minutes.
 #[test]
 fn a_rack_lost_during_a_reboot_in_the_previous_rack() {
