--- a/crates/borageswitch_runtime/src/admission.rs
+++ b/crates/borageswitch_runtime/src/admission.rs
@@ -79,7 +79,8 @@
             return Ok(Call { queue, owner, quota: declared.map(|caller| caller.quota) });
         }
         // A daemon that was disconnected when a key was issued does not know it and would reject
-        // its owner permanently. When told to retry, the owner finds a daemon that knows the key.
+        // its owner permanently. The response makes the owner retry and find a daemon that knows the
+        // key.
         Err(Rejection::UnknownKey(_)) if may_be_outdated(shared) => Failure::ConfigTooOld,
         Err(rejection) => Failure::Unauthenticated(rejection),
     };
--- a/crates/borageswitch_runtime/src/control/tests.rs
+++ b/crates/borageswitch_runtime/src/control/tests.rs
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_cancellation_that_is_read_before_its_job_takes_effect() {
-    // Guards against running a job although its caller was told that it is cancelled. After a watch
-    // was cut everything is read again, cancellations before jobs.
+    // Guards against running a job although its caller was notified that it is cancelled. After a
+    // watch was cut everything is read again, cancellations before jobs.
     let (mut control, effects_rx) = leading();
     control.handle_message(Message::CancelStored { token: 7, job: JobName::from("j") });
 
--- a/crates/borageswitch_runtime/src/intake.rs
+++ b/crates/borageswitch_runtime/src/intake.rs
@@ -110,7 +110,7 @@
 ///
 /// After the request to the leader, this daemon may report that nothing was stored only if the
 /// leader has proved it. If a lost response of the leader were treated as a refusal, the job could
-/// run although its caller was told that it never will.
+/// run although its caller was notified that it never will.
 async fn submit_through_leader<P>(
     shared: &Arc<Shared<P>>,
     submission: Submission,
--- a/crates/borageswitch_scheduler/src/reducer/advice.rs
+++ b/crates/borageswitch_scheduler/src/reducer/advice.rs
@@ -94,7 +94,7 @@
         now: Now,
         key: &StepKey,
         step: &Step,
-        room: &FreeCapacity,
+        available: &FreeCapacity,
     ) {
         let advice = &self.advice;
         let busy =
@@ -107,7 +107,7 @@
             known.is_some_and(|known| fits_labels(step, known))
         };
         let size = reserved_size(step);
-        let mut candidates: Vec<ExecutorName> = room
+        let mut candidates: Vec<ExecutorName> = available
             .iter()
             .filter(|(_, free)| free.holds(&size))
             .map(|(executor, _)| executor)
@@ -116,7 +116,7 @@
             .filter(|executor| advice.ticket(key, executor, now.time).is_none())
             .cloned()
             .collect();
-        candidates.sort_by_key(|executor| std::cmp::Reverse(room[executor].cpu_milli));
+        candidates.sort_by_key(|executor| std::cmp::Reverse(available[executor].cpu_milli));
         candidates.truncate(MAX_EXECUTORS_PER_REQUEST);
         if candidates.is_empty() {
             return;
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -93,7 +93,7 @@
     /// Summarises the leader's state.
     pub fn dump(&self, now: Now) -> StateDump {
         let mut open_jobs: BTreeMap<PoolName, usize> = BTreeMap::new();
-        for job_state in self.times.values() {
+        for job_state in self.job_states.values() {
             *open_jobs.entry(job_state.pool.clone()).or_default() += 1;
         }
         let executors = self.executors.iter().map(|(name, known)| {
@@ -143,7 +143,7 @@
             lines.extend(self.ledger.given_up.get(name).map(ToString::to_string));
             return lines;
         }
-        let (Some(job), Some(job_state)) = (self.ledger.jobs.get(name), self.times.get(name))
+        let (Some(job), Some(job_state)) = (self.ledger.jobs.get(name), self.job_states.get(name))
         else {
             return Vec::new();
         };
--- a/crates/borageswitch_scheduler/src/reducer/gang_reservations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gang_reservations.rs
@@ -245,13 +245,13 @@
         let job = self.ledger.jobs.get(&task.job);
         let expected = job.and_then(|job| {
             let step = job.step(task.step)?;
-            Some(self.learned.estimate(&job.submission.queue.name, step.estimate))
+            Some(self.runtime_estimates.estimate(&job.submission.queue.name, step.estimate))
         });
         expected.unwrap_or_default().saturating_sub(elapsed)
     }
 
     /// The members of the gang for which hosts are fetched into a pool.
-    pub(super) fn gang_seekers(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
+    pub(super) fn unplaced_gangs(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
         let Some(fetch) = self.gang_reservations.fetch.as_ref().filter(|f| f.pool == *pool) else {
             return Vec::new();
         };
--- a/crates/borageswitch_scheduler/src/reducer/gangs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/gangs.rs
@@ -55,7 +55,8 @@
         available: &FreeCapacity,
     ) -> Option<FreeCapacity> {
         let mut members = waiting.waiting.iter().map(|&index| waiting.key.task(index));
-        let isolated = members.any(|member| self.standing(&member) == SuspicionLevel::Isolated);
+        let isolated =
+            members.any(|member| self.suspicion_level(&member) == SuspicionLevel::Isolated);
         let without = |(name, _): &(&ExecutorName, &Size)| self.suspects.count_on(name) == 0;
         isolated.then(|| available.iter().filter(without).map(clone_entry).collect())
     }
--- a/crates/borageswitch_scheduler/src/reducer/host_list.rs
+++ b/crates/borageswitch_scheduler/src/reducer/host_list.rs
@@ -151,10 +151,10 @@
         };
         self.fleet.apply_list(asked, hosts);
         for entry in self.fleet.hosts.values_mut() {
-            let life =
+            let latest =
                 entry.executor.as_ref().and_then(|name| self.executors.latest_incarnation(name));
-            if let Some(life) = life {
-                entry.executor = Some(life.clone());
+            if let Some(latest) = latest {
+                entry.executor = Some(latest.clone());
             }
         }
         self.end_unlisted(now, asked);
@@ -173,11 +173,11 @@
             .map(|(executor, _)| executor.clone())
             .collect();
         for executor in over {
-            let fate = self.fleet.host_outcome(&executor);
+            let outcome = self.fleet.host_outcome(&executor);
             self.end_incarnation(
                 now,
                 &executor,
-                EndDetection::Unlisted { listed_at: asked, host_outcome: fate },
+                EndDetection::Unlisted { listed_at: asked, host_outcome: outcome },
             );
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/jobs.rs
+++ b/crates/borageswitch_scheduler/src/reducer/jobs.rs
@@ -103,15 +103,15 @@
         let Some(name) = &submission.caller else { return };
         let declared = self.config.as_ref().and_then(|config| config.callers.get(name));
         let Some(weight) = declared.map(|caller| caller.weight) else { return };
-        if !self.job_rates.contains_key(name) {
-            self.job_rates.insert(name.clone(), JobBucket::new(now.time, weight));
+        if !self.job_buckets.contains_key(name) {
+            self.job_buckets.insert(name.clone(), JobBucket::new(now.time, weight));
         }
         let within =
-            self.job_rates.get_mut(name).is_none_or(|rate| rate.try_take(now.time, weight));
+            self.job_buckets.get_mut(name).is_none_or(|rate| rate.try_take(now.time, weight));
         if within {
             return;
         }
-        if let Some(job_state) = self.times.get_mut(&submission.job) {
+        if let Some(job_state) = self.job_states.get_mut(&submission.job) {
             job_state.beyond_share = true;
         }
         self.log("beyond-share", &submission.job, || format!("caller={name} weight={weight}"));
@@ -125,7 +125,7 @@
         let configured =
             self.config.as_ref().and_then(|config| config.queues.get(&submission.queue.name));
         let queue = configured.unwrap_or(&submission.queue);
-        self.times.insert(submission.job.clone(), JobState::new(queue, accepted));
+        self.job_states.insert(submission.job.clone(), JobState::new(queue, accepted));
     }
 
     /// Updates the scheduling state of all jobs from the configuration in force.
@@ -134,7 +134,7 @@
         let mut unknown = Vec::new();
         for (name, job) in &self.ledger.jobs {
             let queue = config.queues.get(&job.submission.queue.name);
-            match self.times.get_mut(name) {
+            match self.job_states.get_mut(name) {
                 Some(job_state) => {
                     let Some(queue) = queue else { continue };
                     let fresh = JobState::new(queue, job_state.accepted);
@@ -164,7 +164,7 @@
         for name in std::mem::take(&mut self.maybe_ended) {
             let Some(job) = self.ledger.jobs.get(&name) else { continue };
             let attempts =
-                self.times.get(&name).map_or(u16::MAX, |job_state| job_state.max_attempts);
+                self.job_states.get(&name).map_or(u16::MAX, |job_state| job_state.max_attempts);
             let outcome = if job.is_done() {
                 Outcome::Completed
             } else if has_failed(job, attempts) || self.ledger.given_up.contains_key(&name) {
@@ -178,7 +178,7 @@
     }
 
     fn finish(&mut self, now: Now, job: &JobName, queue: QueueName, outcome: Outcome) {
-        let took = self.times.get(job).map(|job_state| now.time.since(job_state.accepted));
+        let took = self.job_states.get(job).map(|job_state| now.time.since(job_state.accepted));
         self.log("job-ended", job, || {
             format!(
                 "queue={queue} outcome={outcome} took_ms={}",
@@ -187,17 +187,17 @@
         });
         self.mark_pool_dirty(job);
         self.ending_jobs.insert(job.clone(), self.outbox.next_append());
-        for record in self.leftovers_of(job) {
+        for record in self.lingering_runs_of(job) {
             self.record(record);
         }
         self.record(Record::Finished { job: job.clone(), queue, outcome, at: now.wall });
         self.outbox.defer_show_end(job.clone());
-        self.times.remove(job);
+        self.job_states.remove(job);
         self.stop_runs_of(now, job);
     }
 
     /// The runs of a job that still count for its caller's quota after the job has ended.
-    fn leftovers_of(&self, job: &JobName) -> Vec<Record> {
+    fn lingering_runs_of(&self, job: &JobName) -> Vec<Record> {
         let runs = self.executors.runs_of(job).filter_map(|(executor, task)| {
             let held = self.executors.get(executor)?.runs.get(task)?;
             let charge = held.charge.clone()?;
@@ -243,14 +243,14 @@
         let Some(step) = job.step(task.step) else { return };
         let declared = step.estimate;
         let queue = job.submission.queue.name.clone();
-        self.learned.observe(&queue, declared, now.time.since(held.started));
+        self.runtime_estimates.observe(&queue, declared, now.time.since(held.started));
     }
 
     /// The inputs of the order in which occurrences of jobs are placed.
     pub(super) fn view_of(&self, job: &Job, job_state: &JobState, occurrence: u32) -> JobView {
         let spec = &job.submission.spec;
         let queue = &job.submission.queue.name;
-        let expect = |declared| self.learned.estimate(queue, declared);
+        let expect = |declared| self.runtime_estimates.estimate(queue, declared);
         let whole = longest_chain(spec, None, expect);
         let open = job.progress.open.get(&occurrence);
         let remaining = longest_chain(spec, open, expect);
--- a/crates/borageswitch_scheduler/src/reducer/lasting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lasting.rs
@@ -21,7 +21,7 @@
         members: &[&HostEntry],
         host: &Size,
     ) -> Vec<Option<Arc<str>>> {
-        self.extra_hosts(&self.lasting_seekers(pool), pool, members, host)
+        self.extra_hosts(&self.unplaced_lasting(pool), pool, members, host)
     }
 
     /// The hosts that a waiting gang needs besides the members of its pool.
@@ -31,7 +31,7 @@
         members: &[&HostEntry],
         host: &Size,
     ) -> Vec<Option<Arc<str>>> {
-        self.extra_hosts(&self.gang_seekers(pool), pool, members, host)
+        self.extra_hosts(&self.unplaced_gangs(pool), pool, members, host)
     }
 
     fn extra_hosts(
@@ -48,7 +48,7 @@
         lasting::additional_hosts(seekers, capacities.collect(), host)
     }
 
-    fn lasting_seekers(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
+    fn unplaced_lasting(&self, pool: &PoolName) -> Vec<UnplacedTask<StepKey>> {
         let mut tasks = self.undrainable_tasks(pool);
         for (name, job) in &self.ledger.jobs {
             // Few jobs are lasting, and this check is cheaper than the lookup of a job's pool.
--- a/crates/borageswitch_scheduler/src/reducer/lending.rs
+++ b/crates/borageswitch_scheduler/src/reducer/lending.rs
@@ -100,7 +100,7 @@
         let (mut work, mut takes) = (0.0, Duration::ZERO);
         for step in &submission.spec.steps {
             let cores = step.size.cpu_milli as f64 / 1_000.0;
-            let each = self.learned.estimate(queue, step.estimate);
+            let each = self.runtime_estimates.estimate(queue, step.estimate);
             work += f64::from(step.count) * cores * each.as_secs_f64();
             takes += each;
         }
@@ -232,12 +232,12 @@
                 known.used();
         }
         // Hosts that were moved for tasks whose callers are at their quota would be idle.
-        let mut dealing = self.quota_allocation();
+        let mut allocation = self.quota_allocation();
         for (name, job) in &self.ledger.jobs {
-            let Some(job_state) = self.times.get(name) else { continue };
+            let Some(job_state) = self.job_states.get(name) else { continue };
             let pool = needs.entry(job_state.pool.clone()).or_default();
             for (step, waiting) in unblocked_steps(job) {
-                pool.add(step, dealing.take(job, step, &job_state.pool, waiting as u64));
+                pool.add(step, allocation.take(job, step, &job_state.pool, waiting as u64));
             }
         }
         for pool in needs.values_mut() {
--- a/crates/borageswitch_scheduler/src/reducer/mod.rs
+++ b/crates/borageswitch_scheduler/src/reducer/mod.rs
@@ -142,7 +142,7 @@
     /// When a lasting step last failed to find capacity.
     lasting_unplaced: BTreeMap<StepKey, Time>,
     /// The submission rate of each caller, compared with its share.
-    job_rates: BTreeMap<CallerName, JobBucket>,
+    job_buckets: BTreeMap<CallerName, JobBucket>,
     /// When the log last reported that a caller's tasks wait for its quota.
     quota_logged: BTreeMap<CallerName, Time>,
     /// Executors that changed since they were last considered for a poll.
@@ -150,8 +150,8 @@
     /// Hosts to which an earlier leader recently sent orders, with the minimum age of the last
     /// order at the time of this leader's takeover.
     inherited_host_orders: BTreeMap<HostName, Duration>,
-    times: BTreeMap<JobName, JobState>,
-    learned: RuntimeEstimates,
+    job_states: BTreeMap<JobName, JobState>,
+    runtime_estimates: RuntimeEstimates,
     outbox: Outbox,
     advice: Advice,
     gang_reservations: GangReservations,
@@ -283,7 +283,7 @@
     /// The pool whose hosts run a job's tasks, according to the current configuration or to the
     /// last one that contained the job's queue.
     fn pool_of(&self, job: &JobName) -> Option<&PoolName> {
-        let times = self.times.get(job)?;
+        let times = self.job_states.get(job)?;
         Some(&times.pool)
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/pass.rs
+++ b/crates/borageswitch_scheduler/src/reducer/pass.rs
@@ -191,14 +191,14 @@
         let limit = self.startable(waiting).min(self.pending_starts.remaining());
         for &index in waiting.waiting.iter().take(limit) {
             let task = waiting.key.task(index);
-            let standing = self.standing(&task);
-            if standing == SuspicionLevel::Poison
+            let suspicion_level = self.suspicion_level(&task);
+            if suspicion_level == SuspicionLevel::Poison
                 || self.failed_starts.is_backing_off(now.time, &task)
             {
                 continue;
             }
-            let Some(executor) = places.take(&size, standing) else {
-                if standing == SuspicionLevel::Isolated {
+            let Some(executor) = places.take(&size, suspicion_level) else {
+                if suspicion_level == SuspicionLevel::Isolated {
                     // This task waits for a host without suspects; the others may still fit.
                     unplaced_isolated = Some(task);
                     continue;
@@ -215,7 +215,7 @@
                 let nowhere = !available.values().any(|free| free.holds(&size));
                 return if nowhere { Placement::NoCapacity } else { Placement::Done };
             };
-            if standing == SuspicionLevel::Isolated {
+            if suspicion_level == SuspicionLevel::Isolated {
                 available.remove(&executor);
             } else if let Some(left) = available.get_mut(&executor) {
                 *left = left.less(&size);
--- a/crates/borageswitch_scheduler/src/reducer/places.rs
+++ b/crates/borageswitch_scheduler/src/reducer/places.rs
@@ -39,21 +39,25 @@
 
 impl Places {
     /// Assigns the best place to a task.
-    pub(super) fn take(&mut self, size: &Size, standing: SuspicionLevel) -> Option<ExecutorName> {
+    pub(super) fn take(
+        &mut self,
+        size: &Size,
+        suspicion_level: SuspicionLevel,
+    ) -> Option<ExecutorName> {
         let open = self.places.iter().filter(|place| place.remaining != Some(0));
         let open = open.map(|place| place.candidate);
-        let best = match standing {
+        let best = match suspicion_level {
             SuspicionLevel::Clear | SuspicionLevel::Suspect => placement::choose(size, open)?,
             SuspicionLevel::Isolated => placement::choose_isolated(size, open)?,
             SuspicionLevel::Poison => return None,
         };
         let place = &mut self.places[best];
-        place.candidate.suspects += usize::from(standing != SuspicionLevel::Clear);
+        place.candidate.suspects += usize::from(suspicion_level != SuspicionLevel::Clear);
         place.candidate.tasks += 1;
         place.candidate.free = place.candidate.free.less(size);
         place.candidate.in_use = true;
         place.candidate.siblings += usize::from(self.best_effort);
-        place.remaining = match standing {
+        place.remaining = match suspicion_level {
             // Nothing is started beside an isolated task for a while.
             SuspicionLevel::Isolated => Some(0),
             _ => place.remaining.map(|remaining| remaining - 1),
@@ -95,7 +99,7 @@
         available: &FreeCapacity,
     ) -> Places {
         let size = reserved_size(step);
-        let avoid = self.times.get(&key.job).and_then(|times| times.failed_on.as_ref());
+        let avoid = self.job_states.get(&key.job).and_then(|times| times.failed_on.as_ref());
         let counts_siblings = step.best_effort || step.max_per_host.is_some();
         let by_rack = self.siblings_by_rack(key, step);
         let tasks = self.ledger.suspects.range(key.task(0)..=key.task(u32::MAX));
--- a/crates/borageswitch_scheduler/src/reducer/polls.rs
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -173,7 +173,7 @@
         for active in &report.active {
             match known.runs.get_mut(&active.task).filter(|held| held.run == active.run) {
                 Some(held) => {
-                    if let Some(job_state) = self.times.get_mut(&active.task.job) {
+                    if let Some(job_state) = self.job_states.get_mut(&active.task.job) {
                         job_state.begun = true;
                     }
                     let was_at_work = held.is_at_work();
--- a/crates/borageswitch_scheduler/src/reducer/quotas.rs
+++ b/crates/borageswitch_scheduler/src/reducer/quotas.rs
@@ -78,10 +78,10 @@
         let Some(quota) = self.quota_of(&charge.caller) else { return all };
         let used = self.executors.usage().of(&charge.caller);
         let Some(left) = quotas::startable(&quota, &used.size, &charge.size) else { return all };
-        let others_on_way = used.in_flight > 0;
+        let others_in_flight = used.in_flight > 0;
         match gang {
-            false => left.independent(all, others_on_way),
-            true if left.allows_gang(all, others_on_way) => all,
+            false => left.independent(all, others_in_flight),
+            true if left.allows_gang(all, others_in_flight) => all,
             true => 0,
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/run_ends.rs
+++ b/crates/borageswitch_scheduler/src/reducer/run_ends.rs
@@ -26,9 +26,9 @@
             format!("run={} executor={executor} why={why}", held.run)
         });
         let assigned = self.ledger.task(task).and_then(|state| state.assigned.as_ref());
-        let is_leftover =
+        let is_lingering =
             self.ledger.lingering_runs.get(task).is_some_and(|left| left.run == held.run);
-        if is_leftover || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
+        if is_lingering || assigned.is_some_and(|a| a.run == held.run && a.executor == *executor) {
             self.record(Record::Released { task: task.clone(), run: held.run });
         }
     }
@@ -55,7 +55,7 @@
         }
         self.dirty_pools.insert(pool);
         self.maybe_ended.insert(ended.task.job.clone());
-        if let Some(job_state) = self.times.get_mut(&ended.task.job) {
+        if let Some(job_state) = self.job_states.get_mut(&ended.task.job) {
             job_state.begun = true;
         }
         self.log("run-ended", &ended.task, || {
@@ -77,10 +77,10 @@
     /// failed on another executor: then the task itself is the likelier cause.
     fn note_failure(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
         let failed_before = self.ledger.task(task).is_some_and(|state| state.failures > 0);
-        let job_suspected = self.times.get(&task.job).is_some_and(|job_state| {
+        let job_suspected = self.job_states.get(&task.job).is_some_and(|job_state| {
             job_state.failed_on.as_ref().is_some_and(|other| other != executor)
         });
-        if let Some(job_state) = self.times.get_mut(&task.job) {
+        if let Some(job_state) = self.job_states.get_mut(&task.job) {
             job_state.failed_on.get_or_insert_with(|| executor.clone());
         }
         if failed_before || job_suspected {
--- a/crates/borageswitch_scheduler/src/reducer/starts.rs
+++ b/crates/borageswitch_scheduler/src/reducer/starts.rs
@@ -158,7 +158,7 @@
         self.executors.confirm(executor, task);
         let Some(known) = self.executors.get_mut(executor) else { return };
         let Some(held) = known.runs.get_mut(task) else { return };
-        if let Some(times) = self.times.get_mut(&task.job) {
+        if let Some(times) = self.job_states.get_mut(&task.job) {
             times.begun = true;
         }
         if matches!(held.phase, Phase::Sent | Phase::Unsure) {
--- a/crates/borageswitch_scheduler/src/reducer/stragglers.rs
+++ b/crates/borageswitch_scheduler/src/reducer/stragglers.rs
@@ -64,7 +64,7 @@
             return held.percent < 100
                 && stragglers::should_restart_lasting(elapsed, held.percent, given_up);
         }
-        let expected = self.learned.estimate(&job.submission.queue.name, step.estimate);
+        let expected = self.runtime_estimates.estimate(&job.submission.queue.name, step.estimate);
         let kept = if step.checkpointing { f64::from(held.percent) / 200.0 } else { 0.0 };
         let given_up = self.stragglers.given_up(task);
         let percent = held.percent;
--- a/crates/borageswitch_scheduler/src/reducer/suspects.rs
+++ b/crates/borageswitch_scheduler/src/reducer/suspects.rs
@@ -62,8 +62,8 @@
 }
 
 impl Scheduler {
-    /// The standing of a task, by the crashes under it.
-    pub(super) fn standing(&self, task: &TaskKey) -> SuspicionLevel {
+    /// The suspicion level of a task, by the crashes under it.
+    pub(super) fn suspicion_level(&self, task: &TaskKey) -> SuspicionLevel {
         SuspicionLevel::of(self.ledger.crashes_of(task))
     }
 
@@ -79,12 +79,12 @@
 
     /// Tracks a placed task if it is a suspect; an isolated one blocks its executor for a while.
     pub(super) fn track_suspect(&mut self, now: Now, executor: &ExecutorName, task: &TaskKey) {
-        let standing = self.standing(task);
-        if standing == SuspicionLevel::Clear {
+        let suspicion_level = self.suspicion_level(task);
+        if suspicion_level == SuspicionLevel::Clear {
             return;
         }
         self.suspects.track(executor, task);
-        if standing >= SuspicionLevel::Isolated
+        if suspicion_level >= SuspicionLevel::Isolated
             && let Some(known) = self.executors.get_mut(executor)
         {
             known.isolated_until = now.time + ISOLATION;
@@ -173,7 +173,7 @@
 
     /// Gives a suspect up if the evidence suffices; otherwise tracks the run that it may have.
     fn review_suspect(&mut self, task: &TaskKey) {
-        if self.standing(task) == SuspicionLevel::Poison || self.is_poison_job(&task.job) {
+        if self.suspicion_level(task) == SuspicionLevel::Poison || self.is_poison_job(&task.job) {
             self.give_up_poison_task(task);
             return;
         }
--- a/crates/borageswitch_scheduler/src/reducer/view.rs
+++ b/crates/borageswitch_scheduler/src/reducer/view.rs
@@ -67,7 +67,7 @@
     /// monitors the queue would see it nearly empty.
     pub fn pending(&self, queue: &QueueName) -> u64 {
         let of_queue = self.ledger.jobs.iter().filter(|(_, j)| j.submission.queue.name == *queue);
-        let begun = |name: &JobName| self.times.get(name).is_some_and(|times| times.begun);
+        let begun = |name: &JobName| self.job_states.get(name).is_some_and(|times| times.begun);
         of_queue.filter(|(name, job)| !begun(name) && !job.has_stored_ends()).count() as u64
     }
 
--- a/crates/borageswitch_scheduler/src/reducer/waiting.rs
+++ b/crates/borageswitch_scheduler/src/reducer/waiting.rs
@@ -130,7 +130,7 @@
     }
 
     fn waiting_steps(&self, now: Now, name: &JobName, job: &Job) -> Vec<WaitingStep> {
-        let Some(times) = self.times.get(name) else { return Vec::new() };
+        let Some(times) = self.job_states.get(name) else { return Vec::new() };
         let mut steps = Vec::new();
         for &occurrence in job.progress.open.keys() {
             let waiting = waiting_by_step(name, job, occurrence);
