--- a/crates/borageswitch_edge/src/operators/calls.rs
+++ b/crates/borageswitch_edge/src/operators/calls.rs
@@ -13,7 +13,7 @@
 use borageswitch_control::{Event, event::OperatorCall};
 use borageswitch_wire::operator::{OperatorAnswer, OperatorRequest};
 
-use crate::platform::before;
+use crate::platform::with_deadline;
 
 /// The most calls that wait at once: beyond them a flood of calls would fill memory.
 const MAX_WAITING: usize = 1_024;
@@ -56,7 +56,7 @@
             self.events.send(event).await.map_err(|_| NoAnswer::Ending)?;
             rx.recv().await.map_err(|_| NoAnswer::Late)
         };
-        before(deadline, asked).await.unwrap_or(Err(NoAnswer::Late))
+        with_deadline(deadline, asked).await.unwrap_or(Err(NoAnswer::Late))
     }
 
     pub(super) fn answer(&self, call: OperatorCall, answer: OperatorAnswer) {
--- a/crates/borageswitch_edge/src/operators/client.rs
+++ b/crates/borageswitch_edge/src/operators/client.rs
@@ -19,7 +19,7 @@
 use smol_hyper::rt::{FuturesIo, SmolExecutor, SmolTimer};
 use tonic::body::Body;
 
-use crate::platform::before;
+use crate::platform::with_deadline;
 
 /// How often a quiet connection is asked whether its other end is still there.
 const PING_INTERVAL: Duration = Duration::from_secs(10);
@@ -59,7 +59,7 @@
     timeout: Duration,
     ex: &Arc<smol::Executor<'static>>,
 ) -> Result<OperatorClient<Connection>, ConnectError> {
-    let opened = before(Instant::now() + timeout, open(daemon, ex)).await;
+    let opened = with_deadline(Instant::now() + timeout, open(daemon, ex)).await;
     let connection = opened.unwrap_or(Err(ConnectError::Late))?;
     let origin = Uri::builder().scheme("http").authority(daemon.to_string()).path_and_query("/");
     let origin = origin.build().unwrap_or_else(|_| unreachable!("an address is an authority"));
--- a/crates/borageswitch_edge/src/operators/server.rs
+++ b/crates/borageswitch_edge/src/operators/server.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     operators::service::{Service, Shared},
-    platform::before,
+    platform::with_deadline,
 };
 
 /// The most connections at once; further ones are closed at once.
@@ -74,7 +74,7 @@
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     stream.set_nodelay(true)?;
     let mut first = [0];
-    let peeked = before(Instant::now() + FIRST_BYTE, stream.peek(&mut first)).await;
+    let peeked = with_deadline(Instant::now() + FIRST_BYTE, stream.peek(&mut first)).await;
     peeked.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
     let server = OperatorServer::new(service);
     let service = service_fn(move |req| server.clone().call(req));
--- a/crates/borageswitch_edge/src/peers/accept.rs
+++ b/crates/borageswitch_edge/src/peers/accept.rs
@@ -21,7 +21,7 @@
         handshake::{self, Role},
         link::Link,
     },
-    platform::before,
+    platform::with_deadline,
 };
 use borageswitch_http::h2_stream::H2Stream;
 
@@ -55,7 +55,8 @@
 
 async fn admit(stream: TcpStream, shared: Arc<Shared>, unproved: Arc<AtomicUsize>) {
     let deadline = Instant::now() + shared.cfg.handshake_timeout;
-    let proved = before(deadline, prove(stream, &shared)).await.unwrap_or(Err(LinkError::Late));
+    let proved =
+        with_deadline(deadline, prove(stream, &shared)).await.unwrap_or(Err(LinkError::Late));
     unproved.fetch_sub(1, Ordering::Relaxed);
     let link = match proved {
         Ok(link) => link,
@@ -76,7 +77,7 @@
 /// would see a failure instead of a duplicate, and dial again and again.
 async fn let_dialler_close(link: Link, patience: Duration) {
     let Link { reader, writer, driver, .. } = link;
-    before(Instant::now() + patience, driver).await;
+    with_deadline(Instant::now() + patience, driver).await;
     drop((reader, writer));
 }
 
--- a/crates/borageswitch_edge/src/peers/dial.rs
+++ b/crates/borageswitch_edge/src/peers/dial.rs
@@ -23,7 +23,7 @@
         link::Link,
         registry::Standing,
     },
-    platform::before,
+    platform::with_deadline,
 };
 
 /// The first wait after a failed try; each further one is twice as long.
@@ -128,7 +128,7 @@
     expected: Option<&DaemonName>,
 ) -> Result<Standing, LinkError> {
     let deadline = Instant::now() + shared.cfg.handshake_timeout;
-    let proved = before(deadline, prove(shared, address)).await;
+    let proved = with_deadline(deadline, prove(shared, address)).await;
     let link = proved.unwrap_or(Err(LinkError::Late))?;
     let daemon = link.member.daemon.clone();
     if daemon == shared.cfg.me.daemon {
--- a/crates/borageswitch_edge/src/peers/link.rs
+++ b/crates/borageswitch_edge/src/peers/link.rs
@@ -29,7 +29,7 @@
         frames::{FrameError, FrameReader, FrameWriter},
         registry::Place,
     },
-    platform::before,
+    platform::with_deadline,
 };
 
 /// After so many intervals of pings without a frame a connection counts as at rest.
@@ -191,7 +191,7 @@
             continue;
         }
         let patience = shared.cfg.silence.saturating_sub(step);
-        match before(Instant::now() + patience, ping.ping(Ping::opaque())).await {
+        match with_deadline(Instant::now() + patience, ping.ping(Ping::opaque())).await {
             Some(Ok(_)) => activity.heard.note(),
             Some(Err(err)) => return err.into(),
             None if activity.heard.ago() >= shared.cfg.silence => return LinkEnd::Silent,
--- a/crates/borageswitch_edge/src/platform/answers.rs
+++ b/crates/borageswitch_edge/src/platform/answers.rs
@@ -6,7 +6,7 @@
     event::ListedHost,
     store::{KeyValue, LeaseId, StoreAnswer, StoreError, StoreRequest, Version},
 };
-use borageswitch_http::client::Answer;
+use borageswitch_http::client::HttpResponse;
 use borageswitch_types::agent::{AgentError, AgentStatus};
 use http::StatusCode;
 
@@ -36,7 +36,7 @@
 /// out. An answer that cannot be understood counts as lost: a write may have taken effect.
 pub(super) fn store_answer(
     request: &StoreRequest,
-    answer: &Answer,
+    answer: &HttpResponse,
 ) -> Result<StoreAnswer, StoreError> {
     match answer.status {
         StatusCode::OK => ok_answer(request, answer).ok_or(StoreError::AnswerLost),
@@ -50,7 +50,7 @@
     }
 }
 
-fn ok_answer(request: &StoreRequest, answer: &Answer) -> Option<StoreAnswer> {
+fn ok_answer(request: &StoreRequest, answer: &HttpResponse) -> Option<StoreAnswer> {
     match request {
         StoreRequest::Get { key } | StoreRequest::Watch { key, .. } => {
             let value = Arc::from(&answer.body[..]);
@@ -70,7 +70,7 @@
     }
 }
 
-fn listed_values(answer: &Answer) -> Option<Vec<KeyValue>> {
+fn listed_values(answer: &HttpResponse) -> Option<Vec<KeyValue>> {
     let listed: Vec<ListedValue> = serde_json::from_slice(&answer.body).ok()?;
     let values = listed.into_iter().map(|value| KeyValue {
         key: value.key,
@@ -80,12 +80,12 @@
     Some(values.collect())
 }
 
-fn version(answer: &Answer) -> Option<Version> {
+fn version(answer: &HttpResponse) -> Option<Version> {
     answer.headers.get(VERSION_HEADER)?.to_str().ok()?.parse().ok().map(Version)
 }
 
 /// What a host's agent said.
-pub(super) fn agent_status(answer: &Answer) -> Result<AgentStatus, AgentError> {
+pub(super) fn agent_status(answer: &HttpResponse) -> Result<AgentStatus, AgentError> {
     match answer.status {
         StatusCode::OK => serde_json::from_slice(&answer.body).map_err(|_| AgentError::Silent),
         status if status.is_client_error() => Err(AgentError::Refused),
@@ -94,7 +94,7 @@
 }
 
 /// The list of hosts, or nothing if the answer is none.
-pub(super) fn host_list(answer: &Answer) -> Option<Vec<ListedHost>> {
+pub(super) fn host_list(answer: &HttpResponse) -> Option<Vec<ListedHost>> {
     if answer.status != StatusCode::OK {
         return None;
     }
--- a/crates/borageswitch_edge/src/platform/endpoints.rs
+++ b/crates/borageswitch_edge/src/platform/endpoints.rs
@@ -7,7 +7,7 @@
 };
 
 use borageswitch_control::store::{StoreAnswer, StoreError, StoreRequest};
-use borageswitch_http::client::{Answer, CallError, Client};
+use borageswitch_http::client::{CallError, Client, HttpResponse};
 
 use crate::platform::{answers, requests};
 
@@ -77,14 +77,16 @@
         address: SocketAddr,
         request: &StoreRequest,
         deadline: Instant,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let left = deadline.saturating_duration_since(Instant::now());
         let retried = matches!(request, StoreRequest::Get { .. } | StoreRequest::List { .. });
         let patience = if retried { left / 2 } else { left };
         let outcome = client.call(address, requests::store_request(request), patience).await;
         match outcome {
             Err(CallError::Lost { reused: true }) if retried => {
-                client.call_anew(address, requests::store_request(request), deadline).await
+                client
+                    .call_on_new_connection(address, requests::store_request(request), deadline)
+                    .await
             }
             outcome => outcome,
         }
--- a/crates/borageswitch_edge/src/platform/mod.rs
+++ b/crates/borageswitch_edge/src/platform/mod.rs
@@ -37,7 +37,7 @@
     metrics::{Counter, Meter},
 };
 
-pub(crate) use borageswitch_http::client::before;
+pub(crate) use borageswitch_http::client::with_deadline;
 
 use self::{budget::CallBudget, endpoints::Endpoints};
 
--- a/crates/borageswitch_http/src/client.rs
+++ b/crates/borageswitch_http/src/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange, bounded in time and size.
+//! HTTP client whose calls are bounded in time and response size.
 
 use std::{
     net::SocketAddr,
@@ -14,150 +14,152 @@
 use smol::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
 
-use crate::connections::{Connection, Connections};
+use crate::connections::{Connection, ConnectionPool};
 
-/// The largest answer that is read, in bytes: a list of values with room to spare.
-const MAX_ANSWER: usize = 16 << 20;
+/// The largest response body that is read, in bytes. A list of values stays well below it.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// A request with its whole body.
+/// A request whose body is fully buffered.
 pub type WholeRequest = Request<Full<Bytes>>;
 
-/// A whole answer.
+/// A response whose body has been read completely.
 #[derive(Debug)]
-pub struct Answer {
-    /// Its status.
+pub struct HttpResponse {
+    /// Status code of the response.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Why a call has no answer.
+/// Why a call returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// It is proved that not one byte of the request was written.
+    /// Not a single byte of the request was written, so the server cannot have processed it.
     NotSent,
-    /// The request may have been read.
+    /// The server may have read the request.
     Lost {
-        /// Whether it was sent on a connection that had served before.
+        /// Whether the request was sent on a connection that had already served a call.
         reused: bool,
     },
 }
 
-/// How long a call may take.
+/// Time limit of a call.
 #[derive(Clone, Copy, Debug)]
-enum Patience {
-    /// Until then in all.
-    Until(Instant),
-    /// Until then for the head of the answer, and so long for each further part of it.
-    Parts(Instant, Duration),
+enum Timeout {
+    /// Deadline for the complete response.
+    Total(Instant),
+    /// Deadline for the response headers, and a timeout for each body frame after them.
+    PerFrame(Instant, Duration),
 }
 
-impl Patience {
-    fn head(self) -> Instant {
+impl Timeout {
+    fn header_deadline(self) -> Instant {
         match self {
-            Patience::Until(deadline) | Patience::Parts(deadline, _) => deadline,
+            Timeout::Total(deadline) | Timeout::PerFrame(deadline, _) => deadline,
         }
     }
 }
 
-/// Makes calls and keeps their connections.
+/// Makes calls and keeps their connections open for reuse.
 pub struct Client {
-    connections: Connections,
+    connections: ConnectionPool,
     connect_timeout: Duration,
     ex: Arc<smol::Executor<'static>>,
 }
 
 impl Client {
-    /// A client that keeps connections for at most `max_age`. Connections are driven on `ex`.
+    /// Creates a client that reuses a connection until it is `max_age` old. Connections are driven
+    /// on `ex`.
     pub fn new(
         connect_timeout: Duration,
         max_age: Duration,
         ex: Arc<smol::Executor<'static>>,
     ) -> Self {
-        Self { connections: Connections::new(max_age), connect_timeout, ex }
+        Self { connections: ConnectionPool::new(max_age), connect_timeout, ex }
     }
 
-    /// Makes a call, on a kept connection if there is one.
+    /// Makes a call, on an idle connection if there is one.
     ///
     /// # Errors
     ///
-    /// Says whether the request can have been read.
+    /// Returns an error that says whether the server may have read the request.
     pub async fn call(
         &self,
         address: SocketAddr,
         req: WholeRequest,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
-        self.call_with(address, req, Patience::Until(Instant::now() + timeout)).await
+    ) -> Result<HttpResponse, CallError> {
+        self.call_with(address, req, Timeout::Total(Instant::now() + timeout)).await
     }
 
-    /// Makes a call whose answer may be large: it may take as long as its parts keep coming, each
-    /// within `timeout`. Bounded in all, an answer that fits no small link would be asked for again
-    /// and again and never come.
+    /// Makes a call whose response may be large: `timeout` applies to the headers and to each body
+    /// frame, not to the whole call. With a total limit, a response that takes longer than the limit
+    /// over a slow link would be requested again and again and never arrive.
     ///
     /// # Errors
     ///
-    /// As [`Self::call`].
+    /// See [`Self::call`].
     pub async fn call_large(
         &self,
         address: SocketAddr,
         req: WholeRequest,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
-        self.call_with(address, req, Patience::Parts(Instant::now() + timeout, timeout)).await
+    ) -> Result<HttpResponse, CallError> {
+        self.call_with(address, req, Timeout::PerFrame(Instant::now() + timeout, timeout)).await
     }
 
     async fn call_with(
         &self,
         address: SocketAddr,
         mut req: WholeRequest,
-        patience: Patience,
-    ) -> Result<Answer, CallError> {
+        time_limit: Timeout,
+    ) -> Result<HttpResponse, CallError> {
         while let Some(conn) = self.connections.take(address) {
-            match self.exchange(address, conn, req, true, patience).await {
-                Ok(answer) => return Ok(answer),
-                // The other end closed the connection while it was unused: another one is tried,
-                // with the very request that came back unsent.
-                Err(Failed::Unsent(back)) => req = *back,
-                Err(Failed::Call(err)) => return Err(err),
+            match self.exchange(address, conn, req, true, time_limit).await {
+                Ok(res) => return Ok(res),
+                // The server closed the connection while it was idle. Tries the next connection
+                // with the unsent request.
+                Err(ExchangeError::Unsent(unsent)) => req = *unsent,
+                Err(ExchangeError::Call(err)) => return Err(err),
             }
         }
-        self.connect_and_call(address, req, patience).await
+        self.connect_and_call(address, req, time_limit).await
     }
 
-    /// Makes a call on a connection of its own, whatever connections are kept.
+    /// Makes a call on a new connection even if idle ones exist.
     ///
     /// # Errors
     ///
-    /// As [`Self::call`].
-    pub async fn call_anew(
+    /// See [`Self::call`].
+    pub async fn call_on_new_connection(
         &self,
         address: SocketAddr,
         req: WholeRequest,
         deadline: Instant,
-    ) -> Result<Answer, CallError> {
-        self.connect_and_call(address, req, Patience::Until(deadline)).await
+    ) -> Result<HttpResponse, CallError> {
+        self.connect_and_call(address, req, Timeout::Total(deadline)).await
     }
 
     async fn connect_and_call(
         &self,
         address: SocketAddr,
         req: WholeRequest,
-        patience: Patience,
-    ) -> Result<Answer, CallError> {
-        let conn = self.connect(address, patience.head()).await.ok_or(CallError::NotSent)?;
-        match self.exchange(address, conn, req, false, patience).await {
-            Ok(answer) => Ok(answer),
-            Err(Failed::Unsent(_)) => Err(CallError::NotSent),
-            Err(Failed::Call(err)) => Err(err),
+        time_limit: Timeout,
+    ) -> Result<HttpResponse, CallError> {
+        let conn =
+            self.connect(address, time_limit.header_deadline()).await.ok_or(CallError::NotSent)?;
+        match self.exchange(address, conn, req, false, time_limit).await {
+            Ok(res) => Ok(res),
+            Err(ExchangeError::Unsent(_)) => Err(CallError::NotSent),
+            Err(ExchangeError::Call(err)) => Err(err),
         }
     }
 
     async fn connect(&self, address: SocketAddr, deadline: Instant) -> Option<Connection> {
         let until = deadline.min(Instant::now() + self.connect_timeout);
-        let stream = before(until, TcpStream::connect(address)).await?.ok()?;
+        let stream = with_deadline(until, TcpStream::connect(address)).await?.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, driver) = http1::handshake(FuturesIo::new(stream)).await.ok()?;
         let driver = async move {
@@ -169,87 +171,91 @@
         Some(Connection { sender, opened: Instant::now(), _driver: driver })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
-    /// The connection is kept only after a whole answer. In every other case it is dropped and with
-    /// it closed, so a late answer can reach no later call.
+    /// The connection is kept only after a complete response. In every other case it is dropped,
+    /// which closes it, so that a late response cannot be taken for the response to a later call.
     async fn exchange(
         &self,
         address: SocketAddr,
         mut conn: Connection,
         req: WholeRequest,
         reused: bool,
-        patience: Patience,
-    ) -> Result<Answer, Failed> {
+        time_limit: Timeout,
+    ) -> Result<HttpResponse, ExchangeError> {
         let sending = conn.sender.try_send_request(req);
-        let Some(sent) = before_or_late(patience.head(), sending).await else {
-            self.connections.forget(address);
-            return Err(Failed::Call(CallError::Lost { reused }));
+        let Some(sent) = with_overload_extension(time_limit.header_deadline(), sending).await
+        else {
+            self.connections.close_idle(address);
+            return Err(ExchangeError::Call(CallError::Lost { reused }));
         };
         let response = sent.map_err(|mut err| match err.take_message() {
-            Some(back) => Failed::Unsent(Box::new(back)),
-            None => Failed::Call(CallError::Lost { reused }),
+            Some(unsent) => ExchangeError::Unsent(Box::new(unsent)),
+            None => ExchangeError::Call(CallError::Lost { reused }),
         })?;
         let (head, body) = response.into_parts();
-        let Some(body) = read_body(Limited::new(body, MAX_ANSWER), patience).await else {
-            self.connections.forget(address);
-            return Err(Failed::Call(CallError::Lost { reused }));
+        let Some(body) = read_body(Limited::new(body, MAX_RESPONSE_BYTES), time_limit).await else {
+            self.connections.close_idle(address);
+            return Err(ExchangeError::Call(CallError::Lost { reused }));
         };
-        self.connections.keep(address, conn);
-        Ok(Answer { status: head.status, headers: head.headers, body })
+        self.connections.put(address, conn);
+        Ok(HttpResponse { status: head.status, headers: head.headers, body })
     }
 }
 
-/// The whole of a body, or nothing if it breaks off or does not come in time.
-async fn read_body(mut body: Limited<Incoming>, patience: Patience) -> Option<Bytes> {
-    let pause = match patience {
-        Patience::Until(deadline) => {
-            return Some(before_or_late(deadline, body.collect()).await?.ok()?.to_bytes());
+/// Reads a complete body. Returns `None` if the body is cut off, too large or late.
+async fn read_body(mut body: Limited<Incoming>, time_limit: Timeout) -> Option<Bytes> {
+    let frame_timeout = match time_limit {
+        Timeout::Total(deadline) => {
+            return Some(with_overload_extension(deadline, body.collect()).await?.ok()?.to_bytes());
         }
-        Patience::Parts(_, pause) => pause,
+        Timeout::PerFrame(_, frame_timeout) => frame_timeout,
     };
     let mut bytes = BytesMut::new();
-    while let Some(part) = before_or_late(Instant::now() + pause, body.frame()).await? {
-        if let Ok(data) = part.ok()?.into_data() {
+    while let Some(next_frame) =
+        with_overload_extension(Instant::now() + frame_timeout, body.frame()).await?
+    {
+        if let Ok(data) = next_frame.ok()?.into_data() {
             bytes.extend_from_slice(&data);
         }
     }
     Some(bytes.freeze())
 }
 
-enum Failed {
+enum ExchangeError {
     Unsent(Box<WholeRequest>),
     Call(CallError),
 }
 
-/// A timer that fires so much too late tells that this process is late with everything.
-const LATE: Duration = Duration::from_millis(20);
-/// The most that is added to a deadline for that.
-const MOST_ADDED: Duration = Duration::from_millis(400);
+/// A timer that fires this late shows that the whole process is overloaded.
+const OVERLOAD_DELAY: Duration = Duration::from_millis(20);
+/// The longest extension of a deadline because of overload.
+const MAX_EXTENSION: Duration = Duration::from_millis(400);
 
-/// The output of a future, or nothing once `deadline` has passed by this process's own account.
+/// Awaits a future until `deadline`, which is extended while this process is overloaded. Returns
+/// `None` on timeout.
 ///
-/// A process that has more to do than its core can carry comes late to its timers and its sockets
-/// alike. The answers are there, unread, when the timers fire; were they given up, each would cost
-/// another call to find out what became of the first, and the process would never catch up. So a
-/// deadline is put off by as much as its timer was late.
-async fn before_or_late<F>(deadline: Instant, f: F) -> Option<F::Output>
+/// A process whose core is overloaded handles timers and sockets late alike, so responses are
+/// already waiting unread in the sockets when the timers fire. Dropping them would cost a further
+/// call each to find out the outcome of the first, and the process would never catch up. The
+/// deadline is therefore extended by the delay of its timer, up to [`MAX_EXTENSION`].
+async fn with_overload_extension<F>(deadline: Instant, f: F) -> Option<F::Output>
 where
     F: Future,
 {
     let timer = async {
         smol::Timer::at(deadline).await;
         let late = deadline.elapsed();
-        if late >= LATE {
-            smol::Timer::after(late.min(MOST_ADDED)).await;
+        if late >= OVERLOAD_DELAY {
+            smol::Timer::after(late.min(MAX_EXTENSION)).await;
         }
         None
     };
     future::or(async { Some(f.await) }, timer).await
 }
 
-/// The output of a future, or nothing once `deadline` has passed.
-pub async fn before<F>(deadline: Instant, f: F) -> Option<F::Output>
+/// Awaits a future until `deadline`. Returns `None` on timeout.
+pub async fn with_deadline<F>(deadline: Instant, f: F) -> Option<F::Output>
 where
     F: Future,
 {
--- a/crates/borageswitch_http/src/connections.rs
+++ b/crates/borageswitch_http/src/connections.rs
@@ -1,4 +1,4 @@
-//! Keeps connections for the next call, for a limited time.
+//! Pool of idle connections, which are reused up to a maximum age.
 
 use std::{
     collections::BTreeMap,
@@ -11,8 +11,8 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
 
-/// The most unused connections that are kept for an address.
-const MAX_UNUSED: usize = 8;
+/// The maximum number of idle connections per address.
+const MAX_IDLE: usize = 8;
 
 /// A connection to one address. Dropping it closes the connection.
 pub(super) struct Connection {
@@ -21,52 +21,52 @@
     pub(super) _driver: smol::Task<()>,
 }
 
-/// The connections that wait for their next call.
-pub(super) struct Connections {
-    unused: Mutex<BTreeMap<SocketAddr, Vec<Connection>>>,
+/// Idle connections by address.
+pub(super) struct ConnectionPool {
+    idle: Mutex<BTreeMap<SocketAddr, Vec<Connection>>>,
     max_age: Duration,
 }
 
-impl Connections {
+impl ConnectionPool {
     pub(super) fn new(max_age: Duration) -> Self {
-        Self { unused: Mutex::new(BTreeMap::new()), max_age }
+        Self { idle: Mutex::new(BTreeMap::new()), max_age }
     }
 
-    /// A connection that is open as far as this end can tell.
+    /// Takes an idle connection that still appears open.
     ///
-    /// What lies between the two ends can lose track of a connection without either end noticing:
-    /// calls on it run out of time while new connections work. The limit of age bounds for how
-    /// long such a connection can be met.
+    /// A network device between client and server can drop the state of a connection without
+    /// either end noticing: calls on it time out while new connections work. The maximum age bounds
+    /// how long such a connection can be reused.
     pub(super) fn take(&self, address: SocketAddr) -> Option<Connection> {
-        let mut unused = self.lock();
-        let waiting = unused.get_mut(&address)?;
+        let mut idle = self.lock();
+        let connections = idle.get_mut(&address)?;
         let max_age = self.max_age;
-        waiting.retain(|conn| conn.sender.is_ready() && conn.opened.elapsed() < max_age);
-        waiting.pop()
+        connections.retain(|conn| conn.sender.is_ready() && conn.opened.elapsed() < max_age);
+        connections.pop()
     }
 
-    /// Keeps a connection whose exchange has ended whole.
-    pub(super) fn keep(&self, address: SocketAddr, conn: Connection) {
+    /// Returns a connection to the pool after a complete exchange.
+    pub(super) fn put(&self, address: SocketAddr, conn: Connection) {
         if conn.sender.is_closed() || conn.opened.elapsed() >= self.max_age {
             return;
         }
-        let mut unused = self.lock();
-        let waiting = unused.entry(address).or_default();
-        if waiting.len() < MAX_UNUSED {
-            waiting.push(conn);
+        let mut idle = self.lock();
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE {
+            connections.push(conn);
         }
     }
 
-    /// Closes every unused connection to an address.
+    /// Closes all idle connections to an address.
     ///
-    /// Called when a call on an older connection ran out of time: whatever silenced that connection
-    /// has most likely silenced those beside it, and each would cost a further call its time.
-    pub(super) fn forget(&self, address: SocketAddr) {
-        let forgotten = self.lock().remove(&address);
-        drop(forgotten);
+    /// Used after a call has timed out: the cause has most likely broken the other connections to
+    /// this address too, and each of them would make a further call time out.
+    pub(super) fn close_idle(&self, address: SocketAddr) {
+        let closed = self.lock().remove(&address);
+        drop(closed);
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Vec<Connection>>> {
-        self.unused.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/borageswitch_http/src/h2_stream.rs
+++ b/crates/borageswitch_http/src/h2_stream.rs
@@ -1,4 +1,4 @@
-//! Lets `h2`, which speaks tokio's I/O traits, read and write a stream of `smol`.
+//! Adapter that implements tokio's I/O traits, which `h2` requires, for a `smol` TCP stream.
 
 use std::{
     io,
@@ -14,31 +14,31 @@
 use smol::net::TcpStream;
 use tokio::io::ReadBuf;
 
-/// A connection as `h2` wants it; only the traits of tokio are used, none of its runtime. It counts
-/// every byte, so that pings and headers count too.
+/// TCP stream with tokio's I/O traits for `h2`; the tokio runtime is not used. Bytes are counted
+/// here, below `h2`, so that pings and headers are included.
 pub struct H2Stream {
     stream: TcpStream,
     bytes: ByteCounter,
 }
 
-/// Counts the bytes of all connections.
+/// Metric that counts the bytes sent and received on all connections.
 #[derive(Clone, Debug)]
 pub struct ByteCounter(Counter<u64>);
 
 impl ByteCounter {
-    /// A counter that begins at zero.
+    /// Registers the counter with `meter`.
     pub fn new(meter: &Meter) -> Self {
-        let bytes = meter.u64_counter("borageswitch_peer_bytes");
-        Self(bytes.with_description("Bytes on connections between daemons by direction").build())
+        let counter = meter.u64_counter("borageswitch_peer_bytes");
+        Self(counter.with_description("Bytes on connections between daemons by direction").build())
     }
 
-    fn count(&self, direction: &'static str, bytes: usize) {
+    fn record(&self, direction: &'static str, bytes: usize) {
         self.0.add(bytes as u64, &[KeyValue::new("direction", direction)]);
     }
 }
 
 impl H2Stream {
-    /// A connection whose bytes are counted.
+    /// Wraps a stream and counts its traffic in `bytes`.
     pub fn new(stream: TcpStream, bytes: ByteCounter) -> Self {
         Self { stream, bytes }
     }
@@ -53,7 +53,7 @@
         let unfilled = buf.initialize_unfilled();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, unfilled))?;
         buf.advance(read);
-        self.bytes.count("received", read);
+        self.bytes.record("received", read);
         Poll::Ready(Ok(()))
     }
 }
@@ -65,7 +65,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.bytes.count("sent", written);
+        self.bytes.record("sent", written);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/borageswitch_http/src/lib.rs
+++ b/crates/borageswitch_http/src/lib.rs
@@ -1,9 +1,10 @@
-//! HTTP/1.1 calls that are bounded in time and size, and say what is proved when they fail.
+//! HTTP/1.1 client calls that are bounded in time and size, and whose errors say whether the
+//! request may have been processed.
 //!
-//! - [`client`] makes calls: each ends with a whole answer, or says whether the request can have
-//!   been read.
-//! - [`connections`] keeps connections for the next call, and forgets those that went silent.
-//! - [`h2_stream`] lets `h2` use a connection, between daemons.
+//! - [`client`] makes calls. Each returns a complete response, or an error that says whether the
+//!   server may have read the request.
+//! - [`connections`] pools idle connections for reuse, and closes those that stopped responding.
+//! - [`h2_stream`] adapts a connection between daemons for `h2`.
 
 pub mod client;
 pub mod connections;
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -14,7 +14,7 @@
     platform::{CRASHING_TEXT, FAILING_TEXT, LASTING_TEXT, example},
     serve::Runner,
 };
-use borageswitch_http::client::{Answer, Client};
+use borageswitch_http::client::{Client, HttpResponse};
 use borageswitch_platform_standin::operator;
 use borageswitch_scheduler::{
     config::Queue,
@@ -239,7 +239,7 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let listening = self.site.daemons.iter().filter_map(Daemon::listens);
         let addresses: Vec<SocketAddr> = listening.map(|listens| listens.callers).collect();
         if addresses.is_empty() {
@@ -266,7 +266,7 @@
 }
 
 /// What an answer settles, and when to come back.
-fn judge(answer: &Option<Answer>) -> (Try, Duration) {
+fn judge(answer: &Option<HttpResponse>) -> (Try, Duration) {
     let Some(answer) = answer else { return (Try::Unknown, PAUSE) };
     let outcome = match answer.status.as_u16() {
         200..=299 => Try::Accepted,
