--- a/crates/borageswitch_logging/src/budget.rs
+++ b/crates/borageswitch_logging/src/budget.rs
@@ -1,65 +1,69 @@
-//! How many lines of a kind are written.
+//! Rate limit of log lines per kind.
 //!
-//! The load: a rush, or a fault, makes one kind of line come thousands of times a second. Without a
-//! budget the queue of lines is full of it, and the one line that explains a refusal is dropped.
-//! With it the first lines of each kind in each second are written, and the rest are counted.
+//! A load peak or a fault can produce thousands of lines of one kind per second. Without a limit
+//! they fill the queue, and the single line that explains a refusal is dropped. With it, the first
+//! lines of each kind in each second are written and the rest are only counted.
 
 use std::collections::BTreeMap;
 
-/// The most lines of one kind in a second. Grown sites start and end some 550 tasks a second on the
-/// mean and twice that in a rush, each with a line: those are written, a flood is not.
-pub const LINES_A_SECOND: u32 = 1_200;
-/// The most kinds that are told apart; texts that differ each time share a budget beyond it.
-const MOST_KINDS: usize = 256;
-/// What kinds beyond [`MOST_KINDS`] are counted as.
-const OTHER: &str = "other";
+/// The maximum number of lines of one kind per second. Large sites start and end about 550 tasks a
+/// second on average and twice that in a load peak, each with a line. The limit is just above that
+/// rate, so that these lines are written and a flood is not.
+pub const MAX_LINES_PER_SECOND: u32 = 1_200;
+/// The maximum number of kinds with a budget of their own. Further kinds share one budget, so that
+/// texts that differ each time do not use unbounded memory.
+const MAX_KINDS: usize = 256;
+/// The kind under which all kinds beyond [`MAX_KINDS`] are counted.
+const OTHER_KINDS: &str = "other";
 
 #[derive(Debug, Default)]
-struct Spent {
+struct Usage {
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-/// What was written and left out in the current second.
+/// Counts of written and suppressed lines per kind in the current second.
 #[derive(Debug, Default)]
 pub struct Budget {
     second: u64,
-    kinds: BTreeMap<Box<str>, Spent>,
+    kinds: BTreeMap<Box<str>, Usage>,
 }
 
-/// Whether a line may be written.
+/// The result of [`Budget::spend`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// It may.
+    /// Whether the line may be written.
     pub allowed: bool,
-    /// How many lines of which kinds were left out in the second that has ended.
-    pub left_out: Vec<(Box<str>, u64)>,
+    /// The number of suppressed lines per kind in the last second that had lines. Empty unless this
+    /// line is the first of a new second.
+    pub suppressed: Vec<(Box<str>, u64)>,
 }
 
 impl Budget {
-    /// Decides about a line of a kind in a second of the wall clock.
+    /// Charges a line to the budget of its kind and decides whether it may be written. `second` is
+    /// the current second of the wall clock.
     pub fn spend(&mut self, kind: &str, second: u64) -> Decision {
-        let left_out = if second == self.second { Vec::new() } else { self.begin(second) };
-        let known = self.kinds.contains_key(kind) || self.kinds.len() < MOST_KINDS;
-        let kind = if known { kind } else { OTHER };
-        let spent = match self.kinds.get_mut(kind) {
-            Some(spent) => spent,
+        let suppressed = if second == self.second { Vec::new() } else { self.start_second(second) };
+        let known = self.kinds.contains_key(kind) || self.kinds.len() < MAX_KINDS;
+        let kind = if known { kind } else { OTHER_KINDS };
+        let usage = match self.kinds.get_mut(kind) {
+            Some(usage) => usage,
             None => self.kinds.entry(kind.into()).or_default(),
         };
-        let allowed = spent.lines < LINES_A_SECOND;
+        let allowed = usage.lines < MAX_LINES_PER_SECOND;
         if allowed {
-            spent.lines += 1;
+            usage.lines += 1;
         } else {
-            spent.left_out += 1;
+            usage.suppressed += 1;
         }
-        Decision { allowed, left_out }
+        Decision { allowed, suppressed }
     }
 
-    /// A new second begins: gives what was left out in the one before.
-    fn begin(&mut self, second: u64) -> Vec<(Box<str>, u64)> {
+    /// Starts a new second and returns the suppressed lines of the last one.
+    fn start_second(&mut self, second: u64) -> Vec<(Box<str>, u64)> {
         self.second = second;
         let kinds = std::mem::take(&mut self.kinds);
-        let counted = kinds.into_iter().filter(|(_, spent)| spent.left_out > 0);
-        counted.map(|(kind, spent)| (kind, spent.left_out)).collect()
+        let flooded = kinds.into_iter().filter(|(_, usage)| usage.suppressed > 0);
+        flooded.map(|(kind, usage)| (kind, usage.suppressed)).collect()
     }
 }
--- a/crates/borageswitch_logging/src/json.rs
+++ b/crates/borageswitch_logging/src/json.rs
@@ -1,4 +1,4 @@
-//! A record as a JSON object.
+//! Conversion of log records to JSON.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The keys and values that come with a record.
+/// Returns the structured key-value pairs of a record as JSON.
 pub fn pairs(record: &Record<'_>) -> Map<String, serde_json::Value> {
     let mut pairs = Pairs(Map::new());
     // Collecting pairs into a map cannot fail.
@@ -30,7 +30,7 @@
     pairs.0
 }
 
-/// The wall clock in milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970 (Unix time).
 pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
