--- a/crates/borageswitch_http/src/client.rs
+++ b/crates/borageswitch_http/src/client.rs
@@ -95,8 +95,8 @@
     }
 
     /// Makes a call whose response may be large: `timeout` applies to the headers and to each body
-    /// frame, not to the whole call. With a total limit, a response that takes longer than the limit
-    /// over a slow link would be requested again and again and never arrive.
+    /// frame, not to the whole call. With a limit on the whole call, a response too large for a
+    /// slow link would be requested again and again and never arrive.
     ///
     /// # Errors
     ///
