--- a/crates/borageswitch_http/tests/large.rs
+++ b/crates/borageswitch_http/tests/large.rs
@@ -21,17 +21,17 @@
 
 /// Starts a server that answers one request with the first `sent_chunks` chunks of a response.
 fn start_server(sent_chunks: usize) -> (SocketAddr, JoinHandle<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
+    let address = listener.local_addr().expect("the listener has no local address");
     let server = thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a client comes");
+        let (mut stream, _) = listener.accept().expect("accept failed");
         let mut buf = [0; 1_024];
-        assert!(stream.read(&mut buf).expect("it asks") > 0);
+        assert!(stream.read(&mut buf).expect("reading the request failed") > 0);
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {CHUNKS}\r\n\r\n");
-        stream.write_all(head.as_bytes()).expect("it listens");
+        stream.write_all(head.as_bytes()).expect("writing the response failed");
         for _ in 0..sent_chunks {
             thread::sleep(INTERVAL);
-            stream.write_all(b"x").expect("it listens");
+            stream.write_all(b"x").expect("writing the response failed");
         }
         // Keeps the connection open without sending for longer than the client's timeout.
         thread::sleep(2 * TIMEOUT);
@@ -40,7 +40,7 @@
 }
 
 fn get_request() -> WholeRequest {
-    Request::get("/").body(Full::new(Bytes::new())).expect("it is whole")
+    Request::get("/").body(Full::new(Bytes::new())).expect("invalid request")
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let response = smol::block_on(ex.run(client.call_large(address, get_request(), TIMEOUT)));
 
     assert_eq!(response.map(|response| response.body.len()), Ok(CHUNKS));
-    server.join().expect("the server was asked once");
+    server.join().expect("the server thread panicked");
 }
 
 #[test]
@@ -67,5 +67,5 @@
     let response = smol::block_on(ex.run(client.call_large(address, get_request(), TIMEOUT)));
 
     assert_eq!(response.map(|_| ()), Err(CallError::Lost { reused: false }));
-    server.join().expect("the server was asked once");
+    server.join().expect("the server thread panicked");
 }
