--- a/crates/borageswitch_scheduler/src/event.rs
+++ b/crates/borageswitch_scheduler/src/event.rs
@@ -101,7 +101,7 @@
     #[display("busy")]
     Busy,
     /// The host is not part of the wave.
-    #[display("not of that wave")]
+    #[display("not part of the wave")]
     NotOfWave,
     /// The host does not exist, or cannot be in that pool.
     #[display("impossible")]
--- a/crates/borageswitch_scheduler/src/task.rs
+++ b/crates/borageswitch_scheduler/src/task.rs
@@ -56,7 +56,7 @@
 
 /// The error for text that cannot be parsed as a [`TaskKey`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-#[display("a task is named JOB.OCCURRENCE.STEP.INDEX")]
+#[display("a task name must have the form JOB.OCCURRENCE.STEP.INDEX")]
 pub struct ParseTaskKeyError;
 
 impl std::error::Error for ParseTaskKeyError {}
