--- a/crates/borageswitch_runtime/src/appends.rs
+++ b/crates/borageswitch_runtime/src/appends.rs
@@ -69,7 +69,7 @@
                 if !leads {
                     return AppendOutcome::Deposed;
                 }
-                log::error!(append = append; "a conflict without a cause; the append is repeated");
+                log::error!(append = append; "conflict without a conflicting key; retrying the append");
             }
             Ok(CommitOutcome::NoLease) => return AppendOutcome::Deposed,
             // The records must be stored in any case. The next leader removes the remaining keys.
@@ -78,7 +78,7 @@
                 tx.remove.clear();
                 continue;
             }
-            Err(err) => log::debug!(append = append; "an append is repeated: {err}"),
+            Err(err) => log::debug!(append = append; "append failed; retrying: {err}"),
         }
         Timer::after(RETRY_PAUSE).await;
         if !shared.leads(token) {
--- a/crates/borageswitch_runtime/src/control.rs
+++ b/crates/borageswitch_runtime/src/control.rs
@@ -301,7 +301,7 @@
             PeerRequest::Dump => match serde_json::to_string(&scheduler.dump(clock::now())) {
                 Ok(text) => PeerResponse::Dumped(text),
                 Err(err) => {
-                    log::error!("the state cannot be encoded: {err}");
+                    log::error!("the scheduler's state cannot be encoded: {err}");
                     PeerResponse::NotLeading
                 }
             },
--- a/crates/borageswitch_runtime/src/election.rs
+++ b/crates/borageswitch_runtime/src/election.rs
@@ -84,7 +84,7 @@
         let vacant_at = match wait_for_vacancy(&shared, &mut backoff).await {
             Ok(at) => at,
             Err(err) => {
-                log::debug!("who leads cannot be read: {err}");
+                log::debug!("the leader key cannot be read: {err}");
                 Timer::after(backoff.next_delay()).await;
                 continue;
             }
@@ -264,7 +264,7 @@
     P: Platform,
 {
     if let Err(err) = shared.platform.revoke(lease).await {
-        log::debug!("a lease that is not needed ends by itself: {err}");
+        log::debug!("revoking a lease failed; it will expire: {err}");
     }
 }
 
@@ -361,7 +361,7 @@
                 let long =
                     failing.is_some_and(|since| clock::time().since(since) >= HAND_OVER_AFTER);
                 if long && let Some(peer) = find_revoker(shared, term).await {
-                    let why = "the store turns this daemon away and serves others";
+                    let why = "the store rejects this daemon and serves others";
                     return TermEnd { why, revoker: Some(peer) };
                 }
             }
@@ -406,7 +406,7 @@
     let executors = watching::executors(shared, term.token, executors_revision);
     let waves = watching::waves(shared, term.token);
     future::or(future::or(intake, executors), waves).await;
-    "nothing is watched any more"
+    "the watches have ended"
 }
 
 type InitialState = (takeover::RecoveredState, watching::ExecutorList);
--- a/crates/borageswitch_runtime/src/intake.rs
+++ b/crates/borageswitch_runtime/src/intake.rs
@@ -100,7 +100,7 @@
     let notification = async move {
         let request = PeerRequest::JobStored(Arc::new(submission));
         if own.send_to_leader(&request).await != Some(PeerResponse::Acknowledged) {
-            log::debug!("the leader was not told of a job; its watch will tell it");
+            log::debug!("the leader did not acknowledge a stored job; its watch will report it");
         }
     };
     shared.ex.spawn(notification).detach();
--- a/crates/borageswitch_runtime/src/orders.rs
+++ b/crates/borageswitch_runtime/src/orders.rs
@@ -257,7 +257,7 @@
         }
         match shared.platform.commit(&tx).await {
             Ok(_) => return,
-            Err(err) => log::warn!(wave = wave; "a wave's report is repeated: {err}"),
+            Err(err) => log::warn!(wave = wave; "storing a wave report failed; retrying: {err}"),
         }
         Timer::after(REPORT_RETRY_PAUSE).await;
     }
--- a/crates/borageswitch_runtime/src/peers/client.rs
+++ b/crates/borageswitch_runtime/src/peers/client.rs
@@ -118,7 +118,7 @@
             h2::client::handshake(H2Stream::new(stream, self.bytes.clone())).await.ok()?;
         let driver = self.ex.spawn(async move {
             if let Err(err) = connection.await {
-                log::debug!("the connection to the leader ended: {err}");
+                log::debug!("the connection to a peer failed: {err}");
             }
         });
         let mut open = self.connection.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/borageswitch_runtime/src/peers/server.rs
+++ b/crates/borageswitch_runtime/src/peers/server.rs
@@ -31,13 +31,13 @@
                 let own = shared.clone();
                 let serving = async move {
                     if let Err(err) = serve_connection(stream, own).await {
-                        log::debug!("a peer's connection ended: {err}");
+                        log::debug!("peer connection failed: {err}");
                     }
                 };
                 shared.ex.spawn(serving).detach();
             }
             Err(err) => {
-                log::warn!("accepting a peer failed: {err}");
+                log::warn!("accepting a peer connection failed: {err}");
                 Timer::after(ACCEPT_PAUSE).await;
             }
         }
@@ -49,7 +49,7 @@
     P: Platform,
 {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("a peer's connection stays slow: {err}");
+        log::debug!("TCP_NODELAY cannot be set on a peer connection: {err}");
     }
     let mut connection =
         h2::server::handshake(H2Stream::new(stream, shared.peer_bytes.clone())).await?;
@@ -58,7 +58,7 @@
         let own = shared.clone();
         let responding = async move {
             if let Err(err) = respond_to(req, respond, &own).await {
-                log::debug!("a peer's question is not answered: {err}");
+                log::debug!("responding to a peer failed: {err}");
             }
         };
         shared.ex.spawn(responding).detach();
@@ -114,7 +114,7 @@
         body.flow_control().release_capacity(part.len()).map_err(io::Error::other)?;
         bytes.extend_from_slice(&part);
         if bytes.len() > MAX_MESSAGE_BYTES {
-            return Err(io::Error::other("a question is too large"));
+            return Err(io::Error::other("the request of a peer is too large"));
         }
     }
     Ok(bytes)
--- a/crates/borageswitch_runtime/src/watching.rs
+++ b/crates/borageswitch_runtime/src/watching.rs
@@ -132,7 +132,7 @@
         match platform.decode_executor(&Change::Written(item)) {
             Some(Seen::There(registration)) => registrations.push(registration),
             Some(Seen::Gone(_) | Seen::Unreadable(_)) => {}
-            None => log::error!("an executor's registration has a strange key"),
+            None => log::error!("an executor's registration has an invalid key"),
         }
     }
     Ok((registrations, at))
@@ -162,7 +162,7 @@
             Ok(seen) => {
                 for change in &seen.changes {
                     let Some(seen) = shared.platform.decode_executor(change) else {
-                        log::error!("an executor's registration has a strange key");
+                        log::error!("an executor's registration has an invalid key");
                         continue;
                     };
                     if matches!(seen, Seen::Unreadable(_)) {
