--- a/crates/borageswitch_scheduler/src/reducer/crashes.rs
+++ b/crates/borageswitch_scheduler/src/reducer/crashes.rs
@@ -57,9 +57,9 @@
         match self {
             EndDetection::OtherIncarnationAnswered => "another life answered",
             EndDetection::OtherIncarnationRegistered => "another life is registered at its address",
-            EndDetection::Restarted(_) => "it has started again",
+            EndDetection::Restarted(_) => "it has restarted",
             EndDetection::Unlisted { .. } => "no host has it",
-            EndDetection::HostOrderCompleted => "its host was taken away",
+            EndDetection::HostOrderCompleted => "its host was taken out of service",
             EndDetection::Expired => "registration and lease ended",
         }
     }
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -216,7 +216,7 @@
             |index: &u32| self.failed_starts.is_backing_off(now.time, &key.task(*index));
         let backing_off = (0..step.count).filter(backing_off).count();
         if backing_off > 0 {
-            lines.push(format!("step {number}: {backing_off} tasks wait after starts that failed"));
+            lines.push(format!("step {number}: {backing_off} tasks back off after failed starts"));
         }
         if waiting > 0 {
             lines.push(self.explain_waiting(now, key, step));
@@ -274,7 +274,10 @@
             lines.push(format!("taken out for {:?}: {:?}", withdrawal.purpose, withdrawal.stage));
         }
         if self.is_paused(now.time, host) {
-            lines.push("an earlier leader ordered it about of late; no order yet".to_owned());
+            lines.push(
+                "an earlier leader recently sent an order for it; no new order is sent yet"
+                    .to_owned(),
+            );
         }
         let Some(executor) = &entry.executor else {
             lines.push("it has no executor".to_owned());
@@ -317,18 +320,18 @@
     } else if known.registration.draining {
         "draining"
     } else if known.host_draining {
-        "being emptied"
+        "on a host that is being drained"
     } else if known.polling.failures > 0 {
         "silent"
     } else if !known.fenced {
-        "not looked at yet"
+        "not polled yet"
     } else if now.time < known.isolated_until {
-        "left alone with a task under which executors crash"
+        "reserved for an isolated suspect"
     } else if known.has_orphan_runs {
-        "running what nobody wants"
+        "running orphan runs"
     } else if now.time < known.full_until {
-        "full by its own account"
+        "full, by its own report"
     } else {
-        "distrusted"
+        "cut off by its circuit breaker"
     })
 }
--- a/crates/borageswitch_scheduler/src/reducer/polls.rs
+++ b/crates/borageswitch_scheduler/src/reducer/polls.rs
@@ -92,7 +92,9 @@
                 self.apply_report(now, executor, sent, &report);
             }
             LookAnswer::Fenced => {
-                self.log("leader-fenced", executor, || "a look met a higher token".to_owned());
+                self.log("leader-fenced", executor, || {
+                    "a poll met a higher fencing token".to_owned()
+                });
                 self.effects.push(Effect::StepDown);
             }
             LookAnswer::OtherLife => {
@@ -110,7 +112,7 @@
         let backoff = FIRST_BACKOFF * (1 << (polling.failures - 1).min(4));
         polling.not_before = now.time + backoff.min(MAX_BACKOFF);
         if polling.failures == 1 {
-            self.log("executor-silent", executor, || "a look got no answer".to_owned());
+            self.log("executor-silent", executor, || "a poll got no response".to_owned());
         }
     }
 
@@ -136,7 +138,7 @@
             known.polling.last_answered_sent = Some(sent);
         }
         if recovered {
-            self.log("executor-answers", executor, || "after looks without an answer".to_owned());
+            self.log("executor-answers", executor, || "after polls without a response".to_owned());
         }
         self.apply_ends(now, executor, report);
         if newest {
--- a/crates/borageswitch_scheduler/src/reducer/registrations.rs
+++ b/crates/borageswitch_scheduler/src/reducer/registrations.rs
@@ -36,7 +36,7 @@
 
     /// Treats a registration that cannot be right as a missing one.
     fn handle_unreadable(&mut self, executor: &ExecutorName) {
-        self.log("registration-unreadable", executor, || "no use is made of it".to_owned());
+        self.log("registration-unreadable", executor, || "the registration is ignored".to_owned());
         self.handle_unregistered(executor);
     }
 
