--- a/crates/borageswitch_policy/src/fair_queue/mod.rs
+++ b/crates/borageswitch_policy/src/fair_queue/mod.rs
@@ -142,7 +142,7 @@
         self.by_latest_start.insert((request.latest_start(), ticket));
         self.lanes.entry(lane_key(&request)).or_default().insert(&request, position);
         let old = self.waiting.insert(ticket, Entry { request, position });
-        assert!(old.is_none(), "a ticket waits twice: {ticket}");
+        assert!(old.is_none(), "ticket {ticket} was queued twice");
     }
 
     /// Returns the next request of a lane, skipping teams for which `is_at_quota` returns true.
--- a/crates/borageswitch_policy/src/model/site.rs
+++ b/crates/borageswitch_policy/src/model/site.rs
@@ -113,7 +113,7 @@
         let mut dispatcher = Box::new(Dispatcher::new(views::service(), seed));
         let mut out = Vec::new();
         dispatcher.set_view(Time::ZERO, view, &mut out);
-        assert!(out.is_empty(), "a new dispatcher has nothing to do");
+        assert!(out.is_empty(), "a new dispatcher has no outputs");
         Entry::Policy(dispatcher)
     }
 
@@ -204,7 +204,7 @@
             match output {
                 DispatchOutput::Start { ticket, host, .. } => self.start(now, ticket, host),
                 DispatchOutput::Refuse { ticket, kind, .. } => {
-                    let open = self.open.remove(&ticket).expect("a refused request was open");
+                    let open = self.open.remove(&ticket).expect("a refused request is open");
                     assert!(open.running_on.is_none(), "{ticket} was refused while it ran");
                     let after = now.since(self.requests[ticket.0 as usize].at);
                     let after_warm_up = self.after_warm_up(ticket);
--- a/crates/borageswitch_policy/src/targets/mod.rs
+++ b/crates/borageswitch_policy/src/targets/mod.rs
@@ -167,7 +167,7 @@
     pub fn start(&mut self, now: Time, host: &HostName, expected: Option<Duration>) -> Attempt {
         let rate = health::rate_of(expected);
         if let Some(target) = self.targets.get_mut(host) {
-            assert!(target.free() > 0, "a start without a free slot on {host}");
+            assert!(target.free() > 0, "a request was started without a free slot on {host}");
             target.in_flight += 1;
             target.last_start = now;
             target.health.record_start(now, rate);
