--- a/crates/borageswitch_control/src/reducer/fleet_sync.rs
+++ b/crates/borageswitch_control/src/reducer/fleet_sync.rs
@@ -211,13 +211,13 @@
     );
     for (duty, fence) in &before.fences {
         let kept = after.fences.get(duty).is_some_and(|after| after >= fence);
-        assert!(kept, "the fence of {duty} would go back below {fence}");
+        assert!(kept, "the fencing token of {duty} would decrease below {fence}");
     }
     for (name, host) in &after.hosts {
         let Some(known) = before.hosts.get(name) else { continue };
         assert!(
             known.pool == host.pool || known.epoch != host.epoch,
-            "{name} would stand in {} and {} in epoch {}",
+            "{name} would be in the pools {} and {} in epoch {}",
             known.pool,
             host.pool,
             host.epoch
--- a/crates/borageswitch_control/src/reducer/planning.rs
+++ b/crates/borageswitch_control/src/reducer/planning.rs
@@ -86,7 +86,10 @@
             return;
         }
         let agent = record.spec.addresses.agent;
-        assert!(self.may_act(&Duty::Planner), "a command would leave after the lease's time");
+        assert!(
+            self.may_act(&Duty::Planner),
+            "a command would be sent after the lease has expired"
+        );
         self.last_commands.insert(host.clone(), self.now);
         self.effects.push(Effect::CommandHost { host, agent, command });
     }
--- a/crates/borageswitch_control/tests/randomised.rs
+++ b/crates/borageswitch_control/tests/randomised.rs
@@ -63,7 +63,7 @@
         let handles: Vec<_> =
             seeds.chunks(chunk_len).map(|seeds| scope.spawn(|| run_seeds(seeds))).collect();
         let totals =
-            handles.into_iter().map(|handle| handle.join().expect("no seed breaks a promise"));
+            handles.into_iter().map(|handle| handle.join().expect("no seed violates an invariant"));
         totals.fold([0; 3], |sum, part| std::array::from_fn(|i| sum[i] + part[i]))
     });
 
@@ -107,7 +107,7 @@
         let handles: Vec<_> =
             seeds.chunks(chunk_len).map(|part| scope.spawn(move || count(part))).collect();
         let totals =
-            handles.into_iter().map(|handle| handle.join().expect("no seed breaks a promise"));
+            handles.into_iter().map(|handle| handle.join().expect("no seed violates an invariant"));
         totals.fold([0; 3], |sum, part| std::array::from_fn(|i| sum[i] + part[i]))
     });
 
--- a/crates/borageswitch_control/tests/support/mod.rs
+++ b/crates/borageswitch_control/tests/support/mod.rs
@@ -30,7 +30,7 @@
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!(
-                "seed {} broke a promise; BORAGESWITCH_SEED={} runs it again",
+                "seed {} violated an invariant; BORAGESWITCH_SEED={} reproduces it",
                 self.0, self.0
             );
         }
--- a/crates/borageswitch_control/tests/support/world/mod.rs
+++ b/crates/borageswitch_control/tests/support/world/mod.rs
@@ -265,7 +265,7 @@
         {
             let ((at, _), action) = entry.remove_entry();
             self.now = at;
-            assert!(self.queue.len() < MAX_QUEUED, "events breed events at {at:?}: {action:?}");
+            assert!(self.queue.len() < MAX_QUEUED, "too many queued actions at {at:?}: {action:?}");
             self.run_action(action);
         }
         self.now = end;
@@ -374,7 +374,7 @@
             }
             Effect::ResolveClaim { ticket, outcome } => {
                 let id = self.daemons.get_mut(daemon).and_then(|fake| fake.tickets.remove(&ticket));
-                let id = id.expect("each ticket is answered once");
+                let id = id.expect("each ticket is resolved once");
                 self.checker.claim_answered(id, daemon, ticket, outcome);
                 self.release_unsent(daemon, ticket, id, outcome);
             }
--- a/crates/borageswitch_control/tests/waits.rs
+++ b/crates/borageswitch_control/tests/waits.rs
@@ -80,7 +80,7 @@
     state.handle(start, Event::Operator { call: CALL, request });
     let (at, response) = response_by(&mut state, start, start + timeout).unwrap();
 
-    assert!(at.since(start) >= ttl, "told after {:?}", at.since(start));
+    assert!(at.since(start) >= ttl, "reported after {:?}", at.since(start));
     assert!(at.since(start) <= silence + ttl + Duration::from_secs(1));
     let lagging = Vec::new();
     assert_eq!(response, OperatorAnswer::InForce { revision: Revision(2), lagging });
