--- a/crates/borageswitch_control/src/reducer/drains.rs
+++ b/crates/borageswitch_control/src/reducer/drains.rs
@@ -26,17 +26,17 @@
 /// Why a leaving host is not drained yet.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub(super) enum DrainBlocker {
-    #[display("this daemon's traffic threads have not applied the new revision yet")]
+    #[display("this daemon's traffic threads do not send by the new revision yet")]
     NotApplied,
     #[display("this daemon has {_0} requests in flight there")]
     InFlight(u32),
-    #[display("the store's list of members has not been read since the leave")]
+    #[display("the store's list of members is not read since the leave")]
     NoList,
     #[display("{daemon} has not confirmed that nothing is in flight{detail}")]
     Waits { daemon: DaemonName, detail: &'static str },
     #[display("{confirmed} daemons have confirmed and {needed} are a majority")]
     NoMajority { confirmed: usize, needed: usize },
-    #[display("daemons without contact may still serve for some seconds")]
+    #[display("daemons that are not seen may serve for some more seconds")]
     Unseen,
 }
 
--- a/crates/borageswitch_control/src/reducer/explaining.rs
+++ b/crates/borageswitch_control/src/reducer/explaining.rs
@@ -54,8 +54,8 @@
             false => self.recent_holder(&Duty::Planner),
         };
         match holder {
-            Some(holder) => lines.push(format!("{holder} is the planner of this region")),
-            None => lines.push("no planner of this region is known".to_owned()),
+            Some(holder) => lines.push(format!("{holder} takes the steps of this region")),
+            None => lines.push("no daemon is known to take the steps of this region".to_owned()),
         }
         lines.extend(self.decisions_about(name));
         let is_unknown_request = matches!(subject, Subject::Request(_)) && lines.len() < 2;
--- a/crates/borageswitch_control/src/reducer/propagation.rs
+++ b/crates/borageswitch_control/src/reducer/propagation.rs
@@ -98,7 +98,7 @@
             Some(Ok(fleet)) => self.adopt(fleet, Version(delta.store_version), Some(from)),
             Some(Err(DeltaError::Mismatch)) => {
                 self.record_decision(format!(
-                    "the changes from {from} do not match its digest; requesting the whole document"
+                    "the changes from {from} lead elsewhere; it is asked for all"
                 ));
                 self.request_fleet(from, Revision::default());
             }
--- a/crates/borageswitch_control/src/store.rs
+++ b/crates/borageswitch_control/src/store.rs
@@ -147,7 +147,7 @@
     #[display("the store cannot be reached")]
     NotSent,
     /// No response arrived in time: a write may have taken effect.
-    #[display("the store's response was lost")]
+    #[display("the store's answer was lost")]
     AnswerLost,
     /// The store rejected the call as invalid: it had no effect.
     #[display("the store refused the call")]
--- a/crates/borageswitch_planner/src/changes/hosts.rs
+++ b/crates/borageswitch_planner/src/changes/hosts.rs
@@ -55,7 +55,7 @@
         HostPhase::Rebooting { .. } => "rebooting",
         HostPhase::Trial { .. } => "on trial",
         HostPhase::Held { .. } => "held",
-        HostPhase::Parked => "off because of the power cap",
+        HostPhase::Parked => "kept off for the power cap",
         HostPhase::Starting { .. } => "starting",
         HostPhase::Failed { .. } => "failed",
     }
@@ -125,7 +125,7 @@
         }
         HostPhase::Leaving { .. } => {
             set_phase(host, HostPhase::Serving);
-            skip_in_waves(fleet, name, "an operator returned it to service");
+            skip_in_waves(fleet, name, "an operator let it serve on");
             Ok(())
         }
         _ => {
@@ -185,7 +185,7 @@
         return Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host))));
     };
     if new_not_after <= *not_after {
-        return Err(wrong_state("not_after", "the current command is valid for longer".to_owned()));
+        return Err(wrong_state("not_after", "the running command is valid for longer".to_owned()));
     }
     *operation = new_operation.clone();
     *not_after = new_not_after;
@@ -204,7 +204,7 @@
         _ => return Err(wrong_state("host", format!("'{name}' is not rebooting"))),
     };
     if operation != *reported {
-        return Err(wrong_state("operation", "a newer reboot was requested".to_owned()));
+        return Err(wrong_state("operation", "another reboot was asked for since".to_owned()));
     }
     set_phase(host, next);
     Ok(())
@@ -238,6 +238,6 @@
             wave.failed.insert(name.clone(), why.clone());
         }
     }
-    skip_in_waves(fleet, name, "it failed before the wave reached it");
+    skip_in_waves(fleet, name, "it failed before its turn");
     Ok(())
 }
--- a/crates/borageswitch_planner/src/changes/mod.rs
+++ b/crates/borageswitch_planner/src/changes/mod.rs
@@ -73,7 +73,7 @@
         Some(changes) => {
             changes.iter().map(|c| c.request.reason.to_string()).collect::<Vec<_>>().join("; ")
         }
-        None => "more changes than are remembered".to_owned(),
+        None => "more than is remembered".to_owned(),
     };
     Err(Refusal::RevisionConflict { expected, found: fleet.revision, since: since.into() })
 }
--- a/crates/borageswitch_planner/src/changes/power.rs
+++ b/crates/borageswitch_planner/src/changes/power.rs
@@ -58,10 +58,10 @@
         HostPower::Throttling { operation } if operation == reported => HostPower::Throttled,
         HostPower::Lifting { operation } if operation == reported => HostPower::Full,
         HostPower::Throttling { .. } | HostPower::Lifting { .. } => {
-            let why = "a newer command was sent".to_owned();
+            let why = "another command was given since".to_owned();
             return Err(wrong_state("operation", why));
         }
-        _ => return Err(wrong_state("host", format!("no throttle of '{name}' was requested"))),
+        _ => return Err(wrong_state("host", format!("no throttle was asked of '{name}'"))),
     };
     Ok(())
 }
@@ -93,7 +93,7 @@
     match host.phase {
         HostPhase::Serving | HostPhase::Trial { .. } | HostPhase::Leaving { .. } => {
             set_phase(host, HostPhase::Leaving { why: LeaveReason::Power });
-            skip_in_waves(fleet, name, "the power cap left no power for it");
+            skip_in_waves(fleet, name, "the power cap left no watts for it");
             Ok(())
         }
         _ => Err(wrong_state("host", format!("'{name}' is {}", describe_phase(host)))),
@@ -133,7 +133,7 @@
             host.power = HostPower::Off;
             Ok(())
         }
-        _ => Err(wrong_state("host", format!("'{name}' is not switching off"))),
+        _ => Err(wrong_state("host", format!("'{name}' was not asked to switch off"))),
     }
 }
 
--- a/crates/borageswitch_planner/src/changes/waves.rs
+++ b/crates/borageswitch_planner/src/changes/waves.rs
@@ -50,7 +50,7 @@
         return Err(invalid("settings.max_batch", "at least one host must be allowed out"));
     }
     if settings.reboot_timeout == Duration::ZERO {
-        return Err(invalid("settings.reboot_timeout", "it must not be zero"));
+        return Err(invalid("settings.reboot_timeout", "a reboot takes longer than nothing"));
     }
     Ok(())
 }
--- a/crates/borageswitch_planner/src/explain.rs
+++ b/crates/borageswitch_planner/src/explain.rs
@@ -32,7 +32,8 @@
 pub fn host(fleet: &Fleet, observed: &Observed, name: &HostName) -> Vec<Reason> {
     let Some((name, host)) = fleet.hosts.get_key_value(name) else { return Vec::new() };
     let plan = Plan::new(fleet, observed);
-    let mut lines = vec![format!("{name} is in {} and is {}.", host.pool, describe_phase(host))];
+    let mut lines =
+        vec![format!("{name} stands in {} and is {}.", host.pool, describe_phase(host))];
     lines.extend(phase_detail(&plan, name, host));
     lines.extend(health_detail(&plan, name));
     lines.extend(power_detail(&plan, name, host));
@@ -55,16 +56,14 @@
         wanted => format!("{name} has {} hosts of {wanted} wanted.", size.members),
     }];
     lines.push(match plan.ledger.check_pool(name) {
-        Ok(()) => {
-            "Every service in it meets its availability budget, also after the loss of the largest \
+        Ok(()) => "Every service in it keeps its promise, also after the loss of the largest \
                    failure domain."
-                .to_owned()
-        }
-        Err(refusal) => format!("An availability budget is violated: {refusal}."),
+            .to_owned(),
+        Err(refusal) => format!("A promise is broken: {refusal}."),
     });
     let hosts: Vec<_> = fleet.hosts_in(name).collect();
     let spare = Plan::new(fleet, observed).ledger.removable(&hosts).len();
-    lines.push(format!("It can spare {spare} of its serving hosts now."));
+    lines.push(format!("It could let {spare} of its serving hosts go now."));
     for (host_name, host) in hosts.iter().filter(|(_, h)| h.phase != HostPhase::Serving) {
         lines.push(format!("{host_name} is {}.", describe_phase(host)));
     }
@@ -86,7 +85,7 @@
     let Some((name, record)) = fleet.waves.get_key_value(name) else { return Vec::new() };
     let plan = Plan::new(fleet, observed);
     let mut lines = vec![format!(
-        "{name} is {}: {} pending, {} out, {} done, {} failed, {} skipped.",
+        "{name} is {}: {} pending, {} out, {} done, {} failed, {} passed over.",
         status_name(&record.status),
         record.pending.len(),
         record.out.len(),
@@ -228,11 +227,11 @@
     let limit = timeout.as_secs();
     let expired = plan.observed.wall.0 > not_after + CLOCK_MARGIN.as_millis() as u64;
     let what = match (began, expired) {
-        (true, _) => "the agent has executed the command and does not report ready yet",
+        (true, _) => "the agent has carried the command out and does not report ready yet",
         (false, false) => "the agent has not confirmed the command",
-        (false, true) => "the command has expired and the agent has not reported it as done",
+        (false, true) => "the agent may not begin it any more and has not reported its end",
     };
-    format!("It has been booting for {since} of at most {limit} s: {what}.")
+    format!("It has been at it for {since} of at most {limit} s: {what}.")
 }
 
 fn failure_detail(plan: &Plan<'_>, name: &HostName, host: &Host, reason: &Reason) -> String {
@@ -243,14 +242,14 @@
     } else {
         format!("it is restarted once {} are free", host.boot_surge())
     };
-    format!("Cause: {reason}; {next}.")
+    format!("What was seen: {reason}; {next}.")
 }
 
 fn health_detail(plan: &Plan<'_>, name: &HostName) -> Option<String> {
     let silent = plan.observed.unreachable_for(name);
     if !silent.is_zero() {
         return Some(format!(
-            "It could not be reached for {} s: it counts for no budget, after {} s a spare host \
+            "It could not be reached for {} s: it counts for no promise, after {} s a spare host \
              may replace it, and after {} s, or {} s if its whole rack is silent, it counts as \
              failed.",
             silent.as_secs(),
@@ -260,7 +259,7 @@
         ));
     }
     let seen = plan.observed.failing.get(name)?;
-    Some(format!("It fails its requests: {seen}."))
+    Some(format!("It fails what it is given: {seen}."))
 }
 
 fn power_detail(plan: &Plan<'_>, name: &HostName, host: &Host) -> Option<String> {
@@ -277,12 +276,12 @@
             )
         }
         HostPower::Throttling { .. } => {
-            "The command to throttle it was sent and is not confirmed.".to_owned()
+            "Its agent was asked to throttle it and has not confirmed it.".to_owned()
         }
         HostPower::Throttled => format!("It is throttled to {}.", host.spec.draw.throttled),
-        HostPower::Lifting { .. } => "The command to lift its throttle was sent.".to_owned(),
+        HostPower::Lifting { .. } => "Its agent was asked to lift the throttle.".to_owned(),
         HostPower::SwitchingOff { .. } => {
-            "The command to switch it off was sent and is not confirmed.".to_owned()
+            "Its agent was asked to switch it off and has not confirmed it.".to_owned()
         }
         HostPower::Surging => "It failed while it booted and counts at its boot surge.".to_owned(),
         HostPower::Off => "It is off.".to_owned(),
@@ -298,7 +297,7 @@
     }
     let stage = waves::stage(plan.fleet, wave);
     if !plan.is_available(name, host) {
-        return Some(format!("{wave_name} skips it until it is usable."));
+        return Some(format!("{wave_name} passes it by until it can be reached."));
     }
     if let Err(refusal) = plan.ledger.check_without(name, host) {
         return Some(format!("{wave_name} waits, since without it {refusal}."));
@@ -316,7 +315,7 @@
             format!("{wave_name} waits for its canaries: {out} of at most {limit} are out.")
         }
         waves::Stage::Batches { limit } => {
-            format!("{wave_name} takes other hosts first: {out} of at most {limit} are out.")
+            format!("{wave_name} has other hosts first: {out} of at most {limit} are out.")
         }
     })
 }
@@ -331,11 +330,9 @@
         }),
         WaveStatus::Paused => Some("An operator paused it; it waits to be resumed.".to_owned()),
         WaveStatus::Halted { reason } => {
-            Some(format!("It halted: {reason}. It waits to be resumed or aborted."))
-        }
-        WaveStatus::Aborting => {
-            Some("It finishes once the hosts that are out are back.".to_owned())
+            Some(format!("It stopped itself: {reason}. It waits to be resumed or aborted."))
         }
+        WaveStatus::Aborting => Some("Hosts that are out come back first.".to_owned()),
         WaveStatus::Finished => None,
     }
 }
@@ -348,7 +345,7 @@
         return vec![format!("No host may boot while the reservation is {over} above the cap.")];
     }
     if record.out.len() >= waves::stage(plan.fleet, record).limit() {
-        return vec!["The maximum number of hosts is out.".to_owned()];
+        return vec!["As many hosts are out as may be.".to_owned()];
     }
     let mut lines: Vec<String> = Vec::new();
     for name in &record.pending {
@@ -356,7 +353,7 @@
         let line = if host.phase != HostPhase::Serving {
             format!("{name} is {}.", describe_phase(host))
         } else if !plan.observed.is_usable(name) {
-            format!("{name} is not usable: it is silent or fails its requests.")
+            format!("{name} cannot be counted on: it is silent or fails its work.")
         } else if let Err(refusal) = plan.ledger.check_without(name, host) {
             format!("Without a host of {}, {refusal}.", host.pool)
         } else if !plan.power.fits(host.boot_surge().0) {
@@ -381,13 +378,13 @@
     }
     if size.deficit() > 0 {
         return Some(format!(
-            "It lacks {} hosts, which come from spare pools and pools with a surplus.",
+            "It lacks {} hosts, which come from spare pools and pools with more than they want.",
             size.deficit()
         ));
     }
     if size.surplus() > 0 {
         return Some(format!(
-            "It returns {} hosts once no wave needs them and no host of it has changed for {} s.",
+            "It gives {} hosts back once no wave needs them and no host of it has changed for {} s.",
             size.surplus(),
             RETURN_SURPLUS_AFTER.as_secs()
         ));
--- a/crates/borageswitch_planner/src/invariants.rs
+++ b/crates/borageswitch_planner/src/invariants.rs
@@ -46,7 +46,7 @@
     }
     for (duty, seen) in &before.fences {
         if after.fences.get(duty).is_none_or(|fence| fence < seen) {
-            return Err(format!("the fencing token of {duty} decreased"));
+            return Err(format!("the fence of {duty} went back"));
         }
     }
     Ok(())
@@ -64,18 +64,16 @@
 fn check_pools(fleet: &Fleet) -> Result<(), String> {
     for (name, host) in &fleet.hosts {
         if !fleet.pools.contains_key(&host.pool) {
-            return Err(format!("host {name} is in an unknown pool: {}", host.pool));
+            return Err(format!("host {name} stands in no pool that exists: {}", host.pool));
         }
         if let HostPhase::Leaving { why: LeaveReason::Move { to } } = &host.phase
             && (!fleet.pools.contains_key(to) || *to == host.pool)
         {
-            return Err(format!("host {name} moves to {to}, which is unknown or its own pool"));
+            return Err(format!("host {name} goes to {to}, which is no other pool"));
         }
     }
     match fleet.services.iter().find(|(_, service)| !fleet.pools.contains_key(&service.pool)) {
-        Some((name, service)) => {
-            Err(format!("service {name} uses an unknown pool: {}", service.pool))
-        }
+        Some((name, service)) => Err(format!("service {name} stands in no pool: {}", service.pool)),
         None => Ok(()),
     }
 }
@@ -117,7 +115,7 @@
                 || wave.failed.contains_key(host)
                 || wave.skipped.contains_key(host);
             if ended {
-                return Err(format!("host {host} is both pending or out and ended in wave {name}"));
+                return Err(format!("host {host} is both ahead of and behind wave {name}"));
             }
         }
         if !fits_status(wave) {
@@ -146,7 +144,7 @@
             _ => None,
         };
         if out.get(name).copied() != wave {
-            return Err(format!("host {name} and its wave disagree: {wave:?}"));
+            return Err(format!("host {name} and its wave do not agree: {wave:?}"));
         }
     }
     match out.keys().find(|host| !fleet.hosts.contains_key(**host)) {
--- a/crates/borageswitch_planner/src/model/mod.rs
+++ b/crates/borageswitch_planner/src/model/mod.rs
@@ -246,7 +246,7 @@
             panic!("{change:?} was planned but refused: {refusal}");
         }
         let broken = before && !meets_budgets(&self.fleet);
-        assert!(forced || !broken, "{change:?} violated a budget in {pool:?}");
+        assert!(forced || !broken, "{change:?} broke a promise in {pool:?}");
     }
 
     fn apply(&mut self, change: FleetChange, why: &str, author: Author) -> Result<(), Refusal> {
--- a/crates/borageswitch_planner/src/steps/hosts.rs
+++ b/crates/borageswitch_planner/src/steps/hosts.rs
@@ -88,7 +88,7 @@
 fn finish_leave<'a>(plan: &mut Plan<'a>, name: &'a HostName, host: &'a Host, why: &'a LeaveReason) {
     let not_after = valid_until(plan.observed.wall);
     let what = match why {
-        LeaveReason::Move { to } => format!("{name} is drained and moves to {to}"),
+        LeaveReason::Move { to } => format!("{name} is drained and goes to {to}"),
         LeaveReason::Hold { .. } => format!("{name} is drained and held"),
         LeaveReason::Power => format!("{name} is drained and switched off"),
         LeaveReason::Wave { wave } => {
@@ -125,7 +125,7 @@
     let Some(symptom) = plan.observed.failing.get(name) else { return };
     let (failing, all) = faults.failing.get(&host.pool).copied().unwrap_or_default();
     if failing == 1 || failing * FAILING_HOSTS_DIVISOR <= all {
-        let why = format!("{name} fails its requests: {symptom}");
+        let why = format!("{name} fails what it is given: {symptom}");
         plan_failure(plan, name, host, why);
     }
 }
@@ -174,7 +174,7 @@
         plan.mark_changed(name);
         plan.add_change(
             renew,
-            format!("{name} did not receive the reboot command, which is sent again"),
+            format!("{name} never got the command to reboot, which is asked again"),
         );
     } else {
         plan.add_command(name, AgentCommand::Status);
@@ -223,8 +223,7 @@
     if plan.power.reserve_start(host) {
         let not_after = valid_until(observed.wall);
         let start = FleetChange::StartHost { host: name.clone(), not_after };
-        let why =
-            format!("{name} is reachable again after failure {} and is restarted", host.failures);
+        let why = format!("{name} answers again after failure {} and is restarted", host.failures);
         plan.mark_changed(name);
         plan.add_change(start, why);
     }
--- a/crates/borageswitch_planner/src/steps/moves.rs
+++ b/crates/borageswitch_planner/src/steps/moves.rs
@@ -191,7 +191,7 @@
         for (meets_budgets, _, pool) in order {
             for _ in 0..self.sizes[pool].deficit() {
                 let why =
-                    if meets_budgets { "it lacks a host" } else { "a budget there is violated" };
+                    if meets_budgets { "it lacks a host" } else { "a promise there is broken" };
                 if !self.move_best_candidate(plan, pool, Purpose::Repair, why) {
                     break;
                 }
@@ -222,7 +222,7 @@
                     demand.lent + lendable,
                     wave.settings.weights,
                 );
-                let why = "it can spare few hosts for a wave";
+                let why = "a wave has few hosts to choose from there";
                 if demand.lent < best
                     && self.move_best_candidate(plan, demand.pool, Purpose::Loan, why)
                 {
@@ -296,7 +296,7 @@
                     .collect();
                 let Some(index) = plan.ledger.next_removable(&hosts) else { break };
                 let (name, host) = hosts[index];
-                if !self.move_host(plan, name, host, spare, "its pool has a surplus") {
+                if !self.move_host(plan, name, host, spare, "its pool has more than it wants") {
                     break;
                 }
             }
@@ -388,7 +388,7 @@
             size.members += 1;
         }
         let change = FleetChange::MoveHost { host: name.clone(), to: to.clone() };
-        plan.change_host(name, host, change, format!("{name} moves to {to}: {why}"));
+        plan.change_host(name, host, change, format!("{name} goes to {to}: {why}"));
         true
     }
 }
--- a/crates/borageswitch_planner/src/steps/power.rs
+++ b/crates/borageswitch_planner/src/steps/power.rs
@@ -136,7 +136,7 @@
         }
         *missing = missing.saturating_sub(host.reserved_power().0);
         plan.mark_changed(name);
-        let why = format!("{name} is idle and the power cap is exceeded");
+        let why = format!("{name} does nothing and the power cap is exceeded");
         plan.add_change(FleetChange::SwitchOff { host: HostName::clone(name) }, why);
     }
 }
@@ -180,7 +180,7 @@
                 continue;
             }
             missing = missing.saturating_sub(host.reserved_power().0);
-            let why = format!("{name} is stopped: throttling does not suffice for the power cap");
+            let why = format!("{name} is stopped: every throttle is in force and the cap is lower");
             plan.change_host(
                 name,
                 host,
--- a/crates/borageswitch_planner/src/steps/tests.rs
+++ b/crates/borageswitch_planner/src/steps/tests.rs
@@ -382,7 +382,7 @@
     assert!(matches!(record.status, WaveStatus::Halted { .. }));
     assert_eq!(record.failed.len(), 1, "the canary alone was lost");
     let lines = explain::wave(region.fleet(), &region.observed(), &wave());
-    assert!(lines.iter().any(|line| line.contains("It halted: 1 hosts failed")));
+    assert!(lines.iter().any(|line| line.contains("It stopped itself: 1 hosts failed")));
 }
 
 #[test]
--- a/crates/borageswitch_planner/src/steps/waves.rs
+++ b/crates/borageswitch_planner/src/steps/waves.rs
@@ -202,7 +202,7 @@
     why: String,
 ) {
     let earmarked = plan.power.earmark_surge(host);
-    debug_assert!(earmarked, "the boot surge of {name} must fit before it is chosen");
+    debug_assert!(earmarked, "the surge of {name} was checked before it was chosen");
     let leave = FleetChange::BeginLeave { host: name.clone(), wave: wave.clone() };
     plan.change_host(name, host, leave, why);
 }
--- a/crates/borageswitch_scheduler/src/config/access.rs
+++ b/crates/borageswitch_scheduler/src/config/access.rs
@@ -35,10 +35,10 @@
     #[display("a key is needed")]
     NoKey,
     /// The request carries several keys.
-    #[display("the request carries more than one key")]
+    #[display("more than one key was shown")]
     SeveralKeys,
     /// The credential is not a key of the expected scheme.
-    #[display("the credential is not a key of the expected scheme")]
+    #[display("what was shown is not a key of the expected scheme")]
     Unreadable,
     /// The key belongs to no caller.
     #[display("the key with fingerprint {_0} is nobody's")]
--- a/crates/borageswitch_scheduler/src/job.rs
+++ b/crates/borageswitch_scheduler/src/job.rs
@@ -162,7 +162,7 @@
     #[display("spec: {_0} bytes, at most {MAX_PAYLOAD_BYTES} are allowed")]
     PayloadTooLong(usize),
     /// The job has no steps.
-    #[display("steps: a job needs at least one step")]
+    #[display("steps: a job needs one step at least")]
     NoSteps,
     /// The job has too many steps.
     #[display("steps: {_0} steps, at most {MAX_STEPS} are allowed")]
@@ -171,10 +171,10 @@
     #[display("steps.count: {_0} tasks, at most {MAX_TASKS} are allowed")]
     TooManyTasks(u64),
     /// A step has no tasks.
-    #[display("steps.{_0}.count: a step needs at least one task")]
+    #[display("steps.{_0}.count: a step needs one task at least")]
     EmptyStep(usize),
     /// A step depends on one that does not exist.
-    #[display("steps.{step}.after: step {after} does not exist")]
+    #[display("steps.{step}.after: there is no step {after}")]
     UnknownStep {
         /// The index of the dependent step.
         step: usize,
@@ -182,7 +182,7 @@
         after: u16,
     },
     /// The dependencies between steps have a cycle.
-    #[display("steps.{_0}.after: the step depends on itself")]
+    #[display("steps.{_0}.after: the step waits for itself")]
     Cycle(usize),
 }
 
--- a/crates/borageswitch_scheduler/src/policy/quotas.rs
+++ b/crates/borageswitch_scheduler/src/policy/quotas.rs
@@ -72,7 +72,9 @@
 
 /// A job that can never run under its caller's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-#[display("steps.{step}.count: gang of {count} tasks, but the quota allows only {most} at once")]
+#[display(
+    "steps.{step}.count: {count} tasks that run only together, the quota lets {most} run at once"
+)]
 pub struct QuotaError {
     /// The index of the step.
     pub step: usize,
--- a/crates/borageswitch_scheduler/src/reducer/explain.rs
+++ b/crates/borageswitch_scheduler/src/reducer/explain.rs
@@ -216,7 +216,7 @@
             |index: &u32| self.failed_starts.is_backing_off(now.time, &key.task(*index));
         let backing_off = (0..step.count).filter(backing_off).count();
         if backing_off > 0 {
-            lines.push(format!("step {number}: {backing_off} tasks back off after failed starts"));
+            lines.push(format!("step {number}: {backing_off} tasks wait after starts that failed"));
         }
         if waiting > 0 {
             lines.push(self.explain_waiting(now, key, step));
@@ -274,10 +274,7 @@
             lines.push(format!("taken out for {:?}: {:?}", withdrawal.purpose, withdrawal.stage));
         }
         if self.is_order_paused(now.time, host) {
-            lines.push(
-                "an earlier leader recently sent an order for it; no new order is sent yet"
-                    .to_owned(),
-            );
+            lines.push("an earlier leader ordered it about of late; no order yet".to_owned());
         }
         let Some(executor) = &entry.executor else {
             lines.push("it has no executor".to_owned());
@@ -320,18 +317,18 @@
     } else if known.registration.draining {
         "draining"
     } else if known.host_draining {
-        "on a host that is being drained"
+        "being emptied"
     } else if known.polling.failures > 0 {
         "silent"
     } else if !known.fenced {
-        "not polled yet"
+        "not looked at yet"
     } else if now.time < known.isolated_until {
-        "reserved for an isolated suspect"
+        "left alone with a task under which executors crash"
     } else if known.has_orphan_runs {
-        "running orphan runs"
+        "running what nobody wants"
     } else if now.time < known.full_until {
-        "full, by its own report"
+        "full by its own account"
     } else {
-        "cut off by its circuit breaker"
+        "distrusted"
     })
 }
